--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -15,6 +15,7 @@
 from bench import overhead
 from bench.cluster import free_address
 from siskinpass.process.broker import Broker, BrokerPolicy
+from siskinpass.process.broker_client import BrokerClient
 from siskinpass.process.codec import (
     decode_packet,
     encode_command,
@@ -22,7 +23,6 @@
     encode_packet,
 )
 from siskinpass.process.counts import CountBook, Outcome
-from siskinpass.process.desk import Desk
 from siskinpass.process.hosting import BrokerHost
 from siskinpass.process.limits import LimitPolicy
 from siskinpass.process.membership import (
@@ -112,7 +112,7 @@
 def _broker(waiting: int, servers: int, tiers: int) -> list[float]:
     """Return the processor time of one ticket in a broker, in us."""
     limit = LimitPolicy(start=1 if servers > GROUP else 8, least=1, most=8)
-    broker = Broker(BrokerPolicy(limit, queue_most=10**6))
+    broker = Broker(BrokerPolicy(limit, max_queued=10**6))
     views = tuple(
         ServerView(f's{number}', f'127.0.0.1:{number}', 'lm')
         for number in range(servers)
@@ -325,8 +325,8 @@
 class _Counter:
     """Count the grants of one desk and release each at once."""
 
-    def __init__(self, desk: Desk, total: int) -> None:
-        self.desk = desk
+    def __init__(self, broker_client: BrokerClient, total: int) -> None:
+        self.broker_client = broker_client
         self.left = total
         self.done = asyncio.get_running_loop().create_future()
 
@@ -334,11 +334,11 @@
         """Open a ticket."""
         self.name = f'entry-1-1796000000000-{number}.0'
         opened = _opened(self.name, 0)
-        self.desk.ask(opened.ticket, self)
+        self.broker_client.ask(opened.ticket, self)
 
     def granted(self, server: str) -> None:
         """Release and ask again."""
-        self.desk.release(self.name, failed=False)
+        self.broker_client.release(self.name, failed=False)
         self.left -= 1
         if self.left:
             self.ask(self.left)
@@ -359,10 +359,10 @@
     server = await start_peer_server(service, address, security)
     links = PeerLinks('entry-1', '127.0.0.1', security)
     links.take_addresses({'broker': address})
-    desk = Desk('lm', lambda unused: None)
-    port = links.dial('broker', desk, lambda unused: None)
-    desk.attach(port, 'broker')
-    counter = _Counter(desk, 500)
+    broker_client = BrokerClient('lm', lambda unused: None)
+    port = links.dial('broker', broker_client, lambda unused: None)
+    broker_client.attach(port, 'broker')
+    counter = _Counter(broker_client, 500)
     start_s = time.process_time()
     counter.ask(0)
     await counter.done
--- a/src/siskinpass/process/breach.py
+++ b/src/siskinpass/process/breach.py
@@ -12,7 +12,7 @@
 
 from siskinpass.process.counts import Tally, merge
 
-ALLOWED_LEAST = 0.001
+MIN_ALLOWED_MISSES = 0.001
 
 
 class PromiseState(enum.Enum):
@@ -48,8 +48,8 @@
     long_s: int = 30
     short_burn: float = 4.0
     long_burn: float = 1.0
-    bad_seconds: int = 3
-    least: int = 10
+    min_bad_seconds: int = 3
+    min_requests: int = 10
     clear_s: int = 5
 
 
@@ -69,13 +69,13 @@
     def __init__(self, policy: BreachPolicy, objective: float) -> None:
         """Start with the promise holding."""
         self._policy = policy
-        self._allowed = max(ALLOWED_LEAST, 1 - objective)
+        self._allowed = max(MIN_ALLOWED_MISSES, 1 - objective)
         self._state = PromiseState.holding
         self._cause = Cause.none
         self._since_s = 0
         self._good_s = 0
 
-    def judge(self, seconds: list[Tally], now_s: int) -> NodeState:
+    def evaluate(self, seconds: list[Tally], now_s: int) -> NodeState:
         """Take in the tallies of the long window, oldest first."""
         policy = self._policy
         recent = seconds[-policy.short_s :]
@@ -83,8 +83,8 @@
         whole = merge(seconds[-policy.long_s :])
         burn = self._burn(short)
         bad = sum(bool(tally.missed) for tally in recent)
-        wanted = self._wanted(burn, self._burn(whole), bad, whole.total)
-        self._move(wanted, short, now_s)
+        new_state = self._classify(burn, self._burn(whole), bad, whole.total)
+        self._transition(new_state, short, now_s)
         return NodeState(self._state, self._cause, burn, self._since_s)
 
     def _burn(self, tally: Tally) -> float:
@@ -92,7 +92,7 @@
             return 0.0
         return tally.missed / tally.total / self._allowed
 
-    def _wanted(
+    def _classify(
         self,
         short_burn: float,
         long_burn: float,
@@ -100,23 +100,27 @@
         total: int,
     ) -> PromiseState:
         policy = self._policy
-        if total < policy.least or short_burn < 1:
+        if total < policy.min_requests or short_burn < 1:
             return PromiseState.holding
-        spread = bad >= policy.bad_seconds
+        spread = bad >= policy.min_bad_seconds
         high = short_burn >= policy.short_burn
         if spread and high and long_burn >= policy.long_burn:
             return PromiseState.breached
         return PromiseState.at_risk
 
-    def _move(self, wanted: PromiseState, short: Tally, now_s: int) -> None:
-        self._good_s = self._good_s + 1 if wanted is PromiseState.holding else 0
-        held = self._state is PromiseState.breached
-        if held and self._good_s < self._policy.clear_s:
+    def _transition(
+        self, new_state: PromiseState, short: Tally, now_s: int
+    ) -> None:
+        self._good_s = (
+            self._good_s + 1 if new_state is PromiseState.holding else 0
+        )
+        is_breached = self._state is PromiseState.breached
+        if is_breached and self._good_s < self._policy.clear_s:
             return
-        if wanted is not self._state:
-            self._state = wanted
+        if new_state is not self._state:
+            self._state = new_state
             self._since_s = now_s
-        self._cause = _cause(wanted, short)
+        self._cause = _cause(new_state, short)
 
 
 def _cause(state: PromiseState, short: Tally) -> Cause:
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -11,7 +11,7 @@
 
 from siskinpass.codes import Code
 from siskinpass.process.demand import Demand
-from siskinpass.process.grants import GrantBook
+from siskinpass.process.grants import ActiveGrants
 from siskinpass.process.limits import LimitPolicy
 from siskinpass.process.placement import Chooser, ServerTable
 from siskinpass.process.preemption import choose_moves, choose_pauses
@@ -35,9 +35,9 @@
 )
 
 MS_PER_S = 1000
-LEAST_RETRY_MS = 200
+MIN_RETRY_MS = 200
 # A ticket whose server has a backlog does not hold up these behind it.
-LOOKED_AT = 64
+MAX_CANDIDATES = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,9 +59,9 @@
     """
 
     limit: LimitPolicy = field(default_factory=LimitPolicy)
-    queue_most: int = 2000
+    max_queued: int = 2000
     reserve_floor: int = 1
-    in_order: bool = True
+    by_priority: bool = True
     pauses: bool = True
     at_random: bool = False
     chooser: Chooser | None = None
@@ -84,7 +84,7 @@
             probe_after=policy.probe_after,
         )
         self._waiting = WaitingTickets()
-        self._grants = GrantBook(self._table)
+        self._grants = ActiveGrants(self._table)
         self._demand = Demand()
         self._rate = GrantRate()
         self._commands: list[Command] = []
@@ -121,61 +121,61 @@
         """Take in events that came together, and decide once."""
         self._now_s = max(self._now_s, now_s)
         for event in events:
-            self._take(event)
+            self._handle_event(event)
         self._dispatch()
         commands, self._commands = self._commands, []
         return commands
 
     @singledispatchmethod
-    def _take(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         raise TypeError(event)
 
-    @_take.register
+    @_handle_event.register
     def _open(self, event: TicketOpened) -> None:
         ticket = event.ticket
         known = ticket.ticket_id in self._waiting
         if known or ticket.ticket_id in self._grants:
             return
-        if not self._policy.in_order:
-            ticket = _without_order(ticket)
+        if not self._policy.by_priority:
+            ticket = _without_priority(ticket)
         if ticket.resumed or self._admit(ticket):
             self._waiting.add(ticket)
             self._add_demand(ticket, 1)
 
-    @_take.register
+    @_handle_event.register
     def _withdraw(self, event: TicketWithdrawn) -> None:
         ticket = self._waiting.pop(event.ticket_id)
         if ticket is not None:
             self._add_demand(ticket, -1)
 
-    @_take.register
+    @_handle_event.register
     def _release(self, event: GrantReleased) -> None:
         self._withdraw(TicketWithdrawn(event.ticket_id))
-        ticket = self._grants.end(event, self._now_s)
+        ticket = self._grants.remove(event, self._now_s)
         if ticket is not None:
             self._add_demand(ticket, -1)
 
-    @_take.register
-    def _report(self, event: GrantReported) -> None:
+    @_handle_event.register
+    def _add_reported(self, event: GrantReported) -> None:
         ticket = event.ticket
         if ticket.ticket_id not in self._grants:
             self._withdraw(TicketWithdrawn(ticket.ticket_id))
-            self._grants.report(event)
+            self._grants.add_reported(event)
             self._add_demand(ticket, 1)
 
-    @_take.register
-    def _take_load(self, event: LoadEvent) -> None:
-        self._grants.take(event, self._now_s)
+    @_handle_event.register
+    def _handle_load(self, event: LoadEvent) -> None:
+        self._grants.apply(event, self._now_s)
 
-    @_take.register
-    def _lose(self, event: EntryLost) -> None:
+    @_handle_event.register
+    def _drop_entry(self, event: EntryLost) -> None:
         for ticket in self._waiting:
             if ticket.entry == event.entry:
                 self._withdraw(TicketWithdrawn(ticket.ticket_id))
         for ticket_id in self._grants.held_by(event.entry):
             self._release(GrantReleased(ticket_id))
 
-    @_take.register
+    @_handle_event.register
     def _tick(self, event: ClockTicked) -> None:
         if self._policy.moves:
             self._table.mark_slow(self._now_s)
@@ -190,7 +190,7 @@
         if wait_s > ticket.patience_s:
             self._reply_refused(ticket, Code.wait_too_long, wait_s)
             return False
-        if self._waiting.fresh < self._policy.queue_most:
+        if self._waiting.fresh < self._policy.max_queued:
             return True
         lowest = self._waiting.lowest()
         if lowest is None or lowest.tier <= ticket.tier:
@@ -214,7 +214,7 @@
         wait_s: float,
     ) -> None:
         excess_s = max(0, wait_s - ticket.patience_s / 2)
-        retry_ms = LEAST_RETRY_MS + int(excess_s * MS_PER_S)
+        retry_ms = MIN_RETRY_MS + int(excess_s * MS_PER_S)
         self._commands.append(
             Refused(ticket.ticket_id, ticket.entry, code, retry_ms),
         )
@@ -235,17 +235,17 @@
         return self._grant(ticket, owed=True)
 
     def _dispatch_tier(self, tier: int) -> None:
-        budget = self._free_for(tier)
-        for ticket in self._waiting.first_of(tier, LOOKED_AT):
+        budget = self._free_slots_for(tier)
+        for ticket in self._waiting.first_of(tier, MAX_CANDIDATES):
             if budget <= 0:
                 break
             budget -= self._grant(ticket, owed=False)
         if self._policy.pauses and tier in self._waiting.tiers:
-            self._make_room(tier)
+            self._pause_for(tier)
 
-    def _free_for(self, tier: int) -> int:
+    def _free_slots_for(self, tier: int) -> int:
         free = self._table.free_slots(self._now_s)
-        return free - self._demand.reserved_from(
+        return free - self._demand.reserved_above(
             tier,
             self._table.slots,
             self._policy.reserve_floor,
@@ -275,26 +275,26 @@
         )
         return True
 
-    def _make_room(self, tier: int) -> None:
+    def _pause_for(self, tier: int) -> None:
         """Pause one lower stream for each ticket that waits in the tier."""
         waiting = self._waiting.count_above(tier)
-        for held in choose_pauses(self._grants.running, tier, waiting):
-            held.ending = True
+        for grant in choose_pauses(self._grants.running, tier, waiting):
+            grant.ending = True
             self._commands.append(
-                Paused(held.ticket.ticket_id, held.ticket.entry),
+                Paused(grant.ticket.ticket_id, grant.ticket.entry),
             )
 
     def _move_from_slow(self) -> None:
         free = self._table.free_slots(self._now_s)
-        for held in choose_moves(self._grants.running, self._table, free):
-            held.ending = True
+        for grant in choose_moves(self._grants.running, self._table, free):
+            grant.ending = True
             self._commands.append(
-                Moved(held.ticket.ticket_id, held.ticket.entry),
+                Moved(grant.ticket.ticket_id, grant.ticket.entry),
             )
 
     def _add_demand(self, ticket: Ticket, step: int) -> None:
         self._demand.add(ticket.tier, step, self._now_s)
 
 
-def _without_order(ticket: Ticket) -> Ticket:
+def _without_priority(ticket: Ticket) -> Ticket:
     return replace(ticket, tier=0, target_s=0.0, share=0.0)
--- a/src/siskinpass/process/desk.py
+++ b/src/siskinpass/process/broker_client.py
@@ -24,7 +24,7 @@
 )
 
 
-class Asker(Protocol):
+class TicketListener(Protocol):
     """Wait for what a broker decides about one ticket."""
 
     def granted(self, server: str) -> None:
@@ -51,59 +51,61 @@
 
 
 @dataclass(slots=True)
-class _Asked:
+class _TicketRecord:
     """Hold one ticket and who waits for it."""
 
     ticket: Ticket
-    asker: Asker
+    listener: TicketListener
     server: str = ''
 
 
-class Desk:
+class BrokerClient:
     """Own the tickets of this entry for one group."""
 
-    def __init__(self, group: str, on_use: Callable[['Desk'], None]) -> None:
+    def __init__(
+        self, group: str, on_port_needed: Callable[['BrokerClient'], None]
+    ) -> None:
         """Start without a broker.
 
         :param on_use: called when there is something to tell and no port.
         """
         self.group = group
-        self._on_use = on_use
-        self._asked: dict[str, _Asked] = {}
+        self._on_port_needed = on_port_needed
+        self._records: dict[str, _TicketRecord] = {}
         self._port: Port | None = None
         self.broker = ''
 
     @property
     def open_tickets(self) -> int:
         """Return how many tickets wait."""
-        return sum(not asked.server for asked in self._asked.values())
+        return sum(not record.server for record in self._records.values())
 
     @property
     def tickets(self) -> int:
         """Return how many tickets wait or hold a slot."""
-        return len(self._asked)
+        return len(self._records)
 
-    def ask(self, ticket: Ticket, asker: Asker) -> None:
+    def ask(self, ticket: Ticket, listener: TicketListener) -> None:
         """Open a ticket."""
-        self._asked[ticket.ticket_id] = _Asked(ticket, asker)
-        self._tell(TicketOpened(ticket))
+        self._records[ticket.ticket_id] = _TicketRecord(ticket, listener)
+        self._send(TicketOpened(ticket))
 
     def withdraw(self, ticket_id: str) -> None:
         """Take back a ticket, whether it waits or holds a slot."""
-        if self._asked.pop(ticket_id, None) is not None:
-            self._tell(GrantReleased(ticket_id))
+        if self._records.pop(ticket_id, None) is not None:
+            self._send(GrantReleased(ticket_id))
 
     def release(self, ticket_id: str, *, failed: bool) -> None:
         """Give a slot back."""
-        if self._asked.pop(ticket_id, None) is not None:
-            self._tell(GrantReleased(ticket_id, failed))
+        if self._records.pop(ticket_id, None) is not None:
+            self._send(GrantReleased(ticket_id, failed))
 
     def observe(self, observed: TokensObserved) -> None:
         """Tell the broker of a server's speed."""
         if self._port is not None:
             self._port.send([observed])
 
-    def speaks_through(self, port: Port) -> bool:
+    def is_attached_to(self, port: Port) -> bool:
         """Tell whether a port is the one in use."""
         return port is self._port
 
@@ -114,11 +116,11 @@
         self._port = port
         self.broker = broker
         events: list[Event] = []
-        for asked in self._asked.values():
-            if asked.server:
-                events.append(GrantReported(asked.ticket, asked.server))
+        for record in self._records.values():
+            if record.server:
+                events.append(GrantReported(record.ticket, record.server))
             else:
-                events.append(TicketOpened(asked.ticket))
+                events.append(TicketOpened(record.ticket))
         port.send(events)
 
     def detach(self) -> None:
@@ -127,49 +129,49 @@
             self._port.close()
         self._port = None
         self.broker = ''
-        if self._asked:
-            self._on_use(self)
+        if self._records:
+            self._on_port_needed(self)
 
     def take(self, port: Port, commands: list[Command]) -> None:
         """Take in what the broker decided; an old broker is not heard."""
         if port is not self._port:
             return
         for command in commands:
-            self._take(command)
+            self._handle_command(command)
 
     @singledispatchmethod
-    def _take(self, command: Command) -> None:
+    def _handle_command(self, command: Command) -> None:
         raise TypeError(command)
 
-    @_take.register
-    def _take_grant(self, command: Granted) -> None:
-        asked = self._asked.get(command.ticket_id)
-        if asked is None:
-            self._tell(GrantReleased(command.ticket_id))
+    @_handle_command.register
+    def _handle_granted(self, command: Granted) -> None:
+        record = self._records.get(command.ticket_id)
+        if record is None:
+            self._send(GrantReleased(command.ticket_id))
             return
-        asked.server = command.server
-        asked.asker.granted(command.server)
-
-    @_take.register
-    def _take_refusal(self, command: Refused) -> None:
-        asked = self._asked.pop(command.ticket_id, None)
-        if asked is not None:
-            asked.asker.refused(command)
-
-    @_take.register
-    def _take_pause(self, command: Paused) -> None:
-        asked = self._asked.get(command.ticket_id)
-        if asked is not None and asked.server:
-            asked.asker.paused()
-
-    @_take.register
-    def _take_move(self, command: Moved) -> None:
-        asked = self._asked.get(command.ticket_id)
-        if asked is not None and asked.server:
-            asked.asker.moved()
-
-    def _tell(self, event: TicketOpened | GrantReleased) -> None:
+        record.server = command.server
+        record.listener.granted(command.server)
+
+    @_handle_command.register
+    def _handle_refused(self, command: Refused) -> None:
+        record = self._records.pop(command.ticket_id, None)
+        if record is not None:
+            record.listener.refused(command)
+
+    @_handle_command.register
+    def _handle_paused(self, command: Paused) -> None:
+        record = self._records.get(command.ticket_id)
+        if record is not None and record.server:
+            record.listener.paused()
+
+    @_handle_command.register
+    def _handle_moved(self, command: Moved) -> None:
+        record = self._records.get(command.ticket_id)
+        if record is not None and record.server:
+            record.listener.moved()
+
+    def _send(self, event: TicketOpened | GrantReleased) -> None:
         if self._port is None:
-            self._on_use(self)
+            self._on_port_needed(self)
         else:
             self._port.send([event])
--- a/src/siskinpass/process/demand.py
+++ b/src/siskinpass/process/demand.py
@@ -6,7 +6,7 @@
 
 from collections import Counter
 
-from siskinpass.process.reserve import SwingReserve
+from siskinpass.process.reserve import PeakDemandReserve
 
 
 class Demand:
@@ -15,36 +15,36 @@
     def __init__(self) -> None:
         """Start without requests."""
         self._counts: Counter[int] = Counter()
-        self._reserves: dict[int, SwingReserve] = {}
+        self._reserves: dict[int, PeakDemandReserve] = {}
 
     def add(self, tier: int, step: int, now_s: float) -> None:
         """Count a request that came or went."""
         self._counts[tier] += step
-        self._note(tier, now_s)
+        self._record(tier, now_s)
 
     def tick(self, now_s: float) -> None:
         """Note the demand of all tiers as time passes."""
         for tier in self._counts:
-            self._note(tier, now_s)
+            self._record(tier, now_s)
 
-    def reserved_from(self, tier: int, capacity: int, floor: int) -> int:
+    def reserved_above(self, tier: int, capacity: int, floor: int) -> int:
         """Return the slots that a tier must leave to those above.
 
         :param capacity: slots of the whole group.
         :param floor: slots to leave in any case.
         """
         reserved = [
-            reserve.slots(self._above(upper), capacity, floor)
+            reserve.slots(self._cumulative(upper), capacity, floor)
             for upper, reserve in self._reserves.items()
             if upper < tier
         ]
         return max(reserved, default=0)
 
-    def _note(self, tier: int, now_s: float) -> None:
-        reserve = self._reserves.setdefault(tier, SwingReserve())
-        reserve.observe(self._above(tier), now_s)
+    def _record(self, tier: int, now_s: float) -> None:
+        reserve = self._reserves.setdefault(tier, PeakDemandReserve())
+        reserve.observe(self._cumulative(tier), now_s)
 
-    def _above(self, tier: int) -> int:
+    def _cumulative(self, tier: int) -> int:
         return sum(
             count for other, count in self._counts.items() if other <= tier
         )
--- a/src/siskinpass/process/dispatcher.py
+++ b/src/siskinpass/process/dispatcher.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from siskinpass.codes import Code
-from siskinpass.process.desk import Asker, Desk, Port
+from siskinpass.process.broker_client import BrokerClient, Port, TicketListener
 from siskinpass.process.hosting import FALLBACK, BrokerHost
 from siskinpass.process.logs import PartLog
 from siskinpass.process.rendezvous import holder
@@ -13,7 +13,7 @@
 UNREACHABLE_S = 2.0
 
 # Opens a port to the broker of a group at another instance.
-Dial = Callable[[str, Desk, Callable[[Port], None]], Port]
+Dial = Callable[[str, BrokerClient, Callable[[Port], None]], Port]
 
 
 class LocalPort:
@@ -61,7 +61,7 @@
         self._dial = dial
         self._note_retry = note_retry
         self._loop = asyncio.get_running_loop()
-        self._desks: dict[str, Desk] = {}
+        self._clients: dict[str, BrokerClient] = {}
         self._instances: frozenset[str] = frozenset((own,))
         self._unreachable: dict[str, float] = {}
         self._log = PartLog('dispatch')
@@ -73,48 +73,48 @@
         return self._instances
 
     @property
-    def desks(self) -> Iterable[Desk]:
+    def broker_clients(self) -> Iterable[BrokerClient]:
         """Return the desks."""
-        return self._desks.values()
+        return self._clients.values()
 
-    def ask(self, ticket: Ticket, asker: Asker) -> None:
+    def ask(self, ticket: Ticket, listener: TicketListener) -> None:
         """Open a ticket for a pool."""
-        self._desk(ticket.pool).ask(ticket, asker)
+        self._client(ticket.pool).ask(ticket, listener)
 
     def withdraw(self, pool: str, ticket_id: str) -> None:
         """Take back a ticket."""
-        self._desk(pool).withdraw(ticket_id)
+        self._client(pool).withdraw(ticket_id)
 
     def release(self, pool: str, ticket_id: str, *, failed: bool) -> None:
         """Give a slot back."""
-        self._desk(pool).release(ticket_id, failed=failed)
+        self._client(pool).release(ticket_id, failed=failed)
 
     def observe(self, pool: str, observed: TokensObserved) -> None:
         """Tell the broker of a server's speed."""
-        self._desk(pool).observe(observed)
+        self._client(pool).observe(observed)
 
     def take_instances(self, names: Iterable[str]) -> None:
         """Take the live instances; desks whose broker moved follow it."""
         self._instances = frozenset(names) or frozenset((self._own,))
-        for desk in self._desks.values():
-            self._follow(desk)
+        for client in self._clients.values():
+            self._follow(client)
 
     def recheck(self) -> None:
         """Return from a fallback to a broker that is worth trying again."""
-        for desk in self._desks.values():
-            self._follow(desk)
-
-    def _desk(self, group: str) -> Desk:
-        desk = self._desks.get(group)
-        if desk is None:
-            desk = Desk(group, self._attach)
-            self._desks[group] = desk
-        return desk
-
-    def _follow(self, desk: Desk) -> None:
-        if desk.broker and desk.broker != self._broker_of(desk.group):
+        for client in self._clients.values():
+            self._follow(client)
+
+    def _client(self, group: str) -> BrokerClient:
+        client = self._clients.get(group)
+        if client is None:
+            client = BrokerClient(group, self._attach)
+            self._clients[group] = client
+        return client
+
+    def _follow(self, client: BrokerClient) -> None:
+        if client.broker and client.broker != self._broker_of(client.group):
             self._note_retry(Code.retry_broker_changed)
-            self._attach(desk)
+            self._attach(client)
 
     def _broker_of(self, group: str) -> str:
         """Return the instance to ask, or the fallback's name."""
@@ -125,29 +125,29 @@
             return f'{FALLBACK}{name}'
         return name
 
-    def _attach(self, desk: Desk) -> None:
-        broker = self._broker_of(desk.group)
+    def _attach(self, client: BrokerClient) -> None:
+        broker = self._broker_of(client.group)
         if broker.startswith(FALLBACK):
-            port = self._open_local(f'{FALLBACK}{desk.group}', desk)
+            port = self._open_local(f'{FALLBACK}{client.group}', client)
         elif broker == self._own:
-            port = self._open_local(desk.group, desk)
+            port = self._open_local(client.group, client)
         else:
             port = self._dial(
                 broker,
-                desk,
-                lambda failed: self._lose(desk, broker, failed),
+                client,
+                lambda failed: self._lose(client, broker, failed),
             )
-        desk.attach(port, broker)
+        client.attach(port, broker)
 
-    def _open_local(self, group: str, desk: Desk) -> LocalPort:
+    def _open_local(self, group: str, client: BrokerClient) -> LocalPort:
         port = LocalPort(self._host, group, self._own)
-        port.on_commands = lambda commands: desk.take(port, commands)
+        port.on_commands = lambda commands: client.take(port, commands)
         return port
 
-    def _lose(self, desk: Desk, broker: str, port: Port) -> None:
-        if desk.broker != broker or not desk.speaks_through(port):
+    def _lose(self, client: BrokerClient, broker: str, port: Port) -> None:
+        if client.broker != broker or not client.is_attached_to(port):
             return
         self._log.warn('A broker does not answer.', broker=broker)
         self._unreachable[broker] = self._loop.time() + UNREACHABLE_S
         self._note_retry(Code.retry_broker_changed)
-        desk.detach()
+        client.detach()
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -9,7 +9,11 @@
 
 from siskinpass.process.limits import Sample
 from siskinpass.process.placement import Server, ServerTable
-from siskinpass.process.preemption import Running, load_of, unread_of
+from siskinpass.process.preemption import (
+    ActiveGrant,
+    ticket_load,
+    unread_by_tier,
+)
 from siskinpass.request.ticket import (
     GrantReleased,
     GrantReported,
@@ -24,7 +28,7 @@
 )
 
 
-class GrantBook:
+class ActiveGrants:
     """Hold the granted tickets and count them on their servers."""
 
     def __init__(self, table: ServerTable) -> None:
@@ -33,7 +37,7 @@
         :param table: servers of the group.
         """
         self._table = table
-        self._running: dict[str, Running] = {}
+        self._running: dict[str, ActiveGrant] = {}
 
     def __len__(self) -> int:
         """Return how many slots are granted."""
@@ -44,7 +48,7 @@
         return ticket_id in self._running
 
     @property
-    def running(self) -> Iterable[Running]:
+    def running(self) -> Iterable[ActiveGrant]:
         """Return the granted slots."""
         return self._running.values()
 
@@ -61,67 +65,67 @@
         cache = self._table.cache
         unread = ticket.tokens_in - cache.cached(name, ticket.pieces)
         cache.note(name, ticket.pieces)
-        held = Running(ticket, name, protected=is_protected, unread=unread)
-        self._running[ticket.ticket_id] = held
-        server.add(held.load)
+        grant = ActiveGrant(ticket, name, protected=is_protected, unread=unread)
+        self._running[ticket.ticket_id] = grant
+        server.add(grant.load)
         server.expect_reading(unread, ticket, now_s)
         self._table.remember(ticket.prefix, name)
         return unread
 
-    def report(self, event: GrantReported) -> None:
+    def add_reported(self, event: GrantReported) -> None:
         """Count a grant that an entry got from the broker before."""
         ticket = event.ticket
-        self._running[ticket.ticket_id] = Running(ticket, event.server)
+        self._running[ticket.ticket_id] = ActiveGrant(ticket, event.server)
         server = self._table.find(event.server)
         if server is not None:
-            server.add(load_of(ticket, 0))
+            server.add(ticket_load(ticket, 0))
 
-    def end(self, event: GrantReleased, now_s: float) -> Ticket | None:
+    def remove(self, event: GrantReleased, now_s: float) -> Ticket | None:
         """Take a grant off and return its ticket, none where unknown."""
-        held = self._running.pop(event.ticket_id, None)
-        if held is None:
+        grant = self._running.pop(event.ticket_id, None)
+        if grant is None:
             return None
-        server = self._table.find(held.server)
+        server = self._table.find(grant.server)
         if server is not None:
-            server.add(-held.load)
+            server.add(-grant.load)
             in_trouble = event.failed or event.erred
             server.note_outcome(now_s, in_trouble=in_trouble)
             server.note_end(now_s, failed=event.failed)
-        return held.ticket
+        return grant.ticket
 
-    def take(self, event: LoadEvent, now_s: float) -> None:
+    def apply(self, event: LoadEvent, now_s: float) -> None:
         """Take in what changes the load or the list of the servers."""
-        self._take(event, now_s)
+        self._handle_event(event, now_s)
 
     @singledispatchmethod
-    def _take(self, event: LoadEvent, now_s: float) -> None:
+    def _handle_event(self, event: LoadEvent, now_s: float) -> None:
         raise TypeError(event)
 
-    @_take.register
-    def _read_prompt(self, event: PromptRead, now_s: float) -> None:
-        held = self._running.get(event.ticket_id)
-        if held is None:
+    @_handle_event.register
+    def _handle_prompt_read(self, event: PromptRead, now_s: float) -> None:
+        grant = self._running.get(event.ticket_id)
+        if grant is None:
             return
-        server = self._table.find(held.server)
+        server = self._table.find(grant.server)
         if server is not None:
-            read = unread_of(held.ticket, held.unread)
+            read = unread_by_tier(grant.ticket, grant.unread)
             server.add(-ServerLoad(unread=read))
             server.note_progress(now_s)
-        held.unread = 0
+        grant.unread = 0
 
-    @_take.register
-    def _place(self, event: PromptPlaced, now_s: float) -> None:
+    @_handle_event.register
+    def _handle_placed(self, event: PromptPlaced, now_s: float) -> None:
         self._table.cache.note(event.server, event.pieces)
         server = self._table.find(event.server)
         if server is not None:
             server.expect_reading(event.unread, event, now_s)
 
-    @_take.register
-    def _take_peers(self, event: PeerLoadsTold, now_s: float) -> None:
+    @_handle_event.register
+    def _handle_peer_loads(self, event: PeerLoadsTold, now_s: float) -> None:
         self._table.take_peer_loads(event.loads)
 
-    @_take.register
-    def _observe(self, event: TokensObserved, now_s: float) -> None:
+    @_handle_event.register
+    def _handle_tokens(self, event: TokensObserved, now_s: float) -> None:
         server = self._table.find(event.server)
         if server is not None:
             server.note_progress(now_s)
@@ -131,10 +135,10 @@
                 Sample(event.count, server.running, now_s),
             )
 
-    @_take.register
-    def _list(self, event: ServersListed, now_s: float) -> None:
+    @_handle_event.register
+    def _handle_servers(self, event: ServersListed, now_s: float) -> None:
         self._table.replace(event.servers)
-        counted = Counter(held.server for held in self._running.values())
+        counted = Counter(grant.server for grant in self._running.values())
         for server in self._table.servers:
             server.running = counted[server.view.name]
 
@@ -142,6 +146,6 @@
         """Return the tickets that an entry holds."""
         return [
             ticket_id
-            for ticket_id, held in self._running.items()
-            if held.ticket.entry == entry
+            for ticket_id, grant in self._running.items()
+            if grant.ticket.entry == entry
         ]
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -51,7 +51,7 @@
     encode_after,
 )
 from siskinpass.process.store import Store
-from siskinpass.process.streams import StreamWatch
+from siskinpass.process.streams import StreamMonitor
 from siskinpass.process.treewatch import TreeWatch
 from siskinpass.request.ticket import ServerView
 from siskinpass.version.book import TreeVersion
@@ -133,7 +133,7 @@
         self._counts = CountBook()
         self._claims = Claims(self._store)
         self._backends = BackendPool(self._loop)
-        self.watch = StreamWatch(self.dispatcher)
+        self.watch = StreamMonitor(self.dispatcher)
         self.relay = Relay(
             RelayParts(
                 settings.name,
@@ -389,10 +389,10 @@
         if version is not None:
             name = group.removeprefix(FALLBACK)
             pool = version.tree.root.pools.get(name, pool)
-        sharers = 1
+        instance_count = 1
         if group.startswith(FALLBACK) or self.dispatcher.alone:
-            sharers = max(1, len(self.gossip.membership.serving))
-        return broker_policy(self._settings.decisions, pool, sharers)
+            instance_count = max(1, len(self.gossip.membership.serving))
+        return broker_policy(self._settings.decisions, pool, instance_count)
 
 
 def _stamp() -> str:
--- a/src/siskinpass/process/orders.py
+++ b/src/siskinpass/process/orders.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-LOADING_MOST = 1
+MAX_LOADING = 1
 REPEAT_S = 5.0
 
 
@@ -51,29 +51,29 @@
         :param wanted: models that each engine is to hold.
         """
         known = sorted(reports, key=_name)
-        astray = [
+        mismatched = [
             report.name
             for report in known
             if report.models is not None and report.models != wanted
         ]
-        self._forget(astray, now_s)
-        free = LOADING_MOST - len(self._sent_s)
-        chosen = [name for name in astray if name not in self._sent_s]
+        self._prune_sent(mismatched, now_s)
+        free = MAX_LOADING - len(self._sent_s)
+        candidates = [name for name in mismatched if name not in self._sent_s]
         orders = [
             Order(name, tuple(sorted(wanted)), fence)
-            for name in chosen[: max(0, free)]
+            for name in candidates[: max(0, free)]
         ]
         for order in orders:
             self._sent_s[order.engine] = now_s
         return orders
 
-    def _forget(self, astray: Iterable[str], now_s: float) -> None:
+    def _prune_sent(self, mismatched: Iterable[str], now_s: float) -> None:
         """Drop orders that were carried out, and those to be repeated."""
-        still = frozenset(astray)
+        outstanding = frozenset(mismatched)
         self._sent_s = {
             name: sent_s
             for name, sent_s in self._sent_s.items()
-            if name in still and now_s - sent_s < REPEAT_S
+            if name in outstanding and now_s - sent_s < REPEAT_S
         }
 
 
--- a/src/siskinpass/process/peers.py
+++ b/src/siskinpass/process/peers.py
@@ -7,7 +7,7 @@
 from grpclib.client import Channel
 from grpclib.protocol import H2Protocol
 
-from siskinpass.process.desk import Desk, Port
+from siskinpass.process.broker_client import BrokerClient, Port
 from siskinpass.process.peer_grpc import PeerStub
 from siskinpass.process.remote_port import RemotePort
 
@@ -56,11 +56,11 @@
     def dial(
         self,
         name: str,
-        desk: Desk,
+        broker_client: BrokerClient,
         on_lost: Callable[[Port], None],
     ) -> Port:
         """Open a broker session with another instance."""
-        return RemotePort(self.stub(name), self._own, desk, on_lost)
+        return RemotePort(self.stub(name), self._own, broker_client, on_lost)
 
     def stub(self, name: str) -> PeerStub:
         """Return a stub for another instance.
--- a/src/siskinpass/process/policies.py
+++ b/src/siskinpass/process/policies.py
@@ -9,7 +9,9 @@
 UNLIMITED = 100_000
 
 
-def broker_policy(decisions: str, pool: Pool, sharers: int) -> BrokerPolicy:
+def broker_policy(
+    decisions: str, pool: Pool, instance_count: int
+) -> BrokerPolicy:
     """Return how a broker decides for a pool.
 
     :param decisions: process setting of that name.
@@ -20,15 +22,15 @@
         # These baselines leave all waiting to the backend servers.
         return BrokerPolicy(
             LimitPolicy(start=UNLIMITED, least=UNLIMITED, most=UNLIMITED),
-            in_order=False,
+            by_priority=False,
             pauses=False,
             at_random=decisions == FIFO_RANDOM,
         )
     return BrokerPolicy(
         LimitPolicy(
-            start=max(1, pool.slots // sharers),
-            least=1 if sharers > 1 else 2,
-            most=max(1, pool.slots_most // sharers),
+            start=max(1, pool.slots // instance_count),
+            least=1 if instance_count > 1 else 2,
+            most=max(1, pool.slots_most // instance_count),
             token_s=pool.token_ms / MS_PER_S,
         ),
     )
--- a/src/siskinpass/process/preemption.py
+++ b/src/siskinpass/process/preemption.py
@@ -9,25 +9,25 @@
 from siskinpass.process.placement import Server, ServerTable
 from siskinpass.request.ticket import ServerLoad, Ticket
 
-MOST_PAUSES_AT_ONCE = 8
+MAX_CONCURRENT_PAUSES = 8
 
 
-MOST_TIERS = 10  # tiers beyond it share the last place of a load
+MAX_TIERS = 10  # tiers beyond it share the last place of a load
 
 
-def load_of(ticket: Ticket, unread: int) -> ServerLoad:
+def ticket_load(ticket: Ticket, unread: int) -> ServerLoad:
     """Return the load of a ticket with a number of unread tokens."""
-    return ServerLoad(1, int(ticket.is_tight), unread_of(ticket, unread))
+    return ServerLoad(1, int(ticket.is_tight), unread_by_tier(ticket, unread))
 
 
-def unread_of(ticket: Ticket, unread: int) -> tuple[int, ...]:
+def unread_by_tier(ticket: Ticket, unread: int) -> tuple[int, ...]:
     """Return unread tokens at the place of the ticket's tier."""
-    tier = min(max(0, ticket.tier), MOST_TIERS - 1)
+    tier = min(max(0, ticket.tier), MAX_TIERS - 1)
     return (*(0 for _ in range(tier)), unread)
 
 
 @dataclass(slots=True)
-class Running:
+class ActiveGrant:
     """Hold one granted slot.
 
     :param protected: granted by the share of its tier, so never paused.
@@ -44,14 +44,14 @@
     @property
     def load(self) -> ServerLoad:
         """Return what it adds to its server."""
-        return load_of(self.ticket, self.unread)
+        return ticket_load(self.ticket, self.unread)
 
 
 def choose_pauses(
-    running: Iterable[Running],
+    running: Iterable[ActiveGrant],
     tier: int,
     waiting: int,
-) -> list[Running]:
+) -> list[ActiveGrant]:
     """Return the lower streams to pause, one for each waiting ticket.
 
     The lowest tier goes first and in it the stream that came last.
@@ -59,47 +59,51 @@
     :param waiting: tickets that wait in this tier and those above.
     """
     slots = tuple(running)
-    ending = sum(held.ending for held in slots)
-    wanted = min(waiting, MOST_PAUSES_AT_ONCE) - ending
+    ending = sum(grant.ending for grant in slots)
+    wanted = min(waiting, MAX_CONCURRENT_PAUSES) - ending
     if wanted <= 0:
         return []
-    lower = [
-        held for held in slots if held.ticket.tier > tier and _may_pause(held)
+    lower_grants = [
+        grant
+        for grant in slots
+        if grant.ticket.tier > tier and _may_pause(grant)
     ]
-    lower.sort(key=_pause_rank, reverse=True)
-    return lower[:wanted]
+    lower_grants.sort(key=_pause_rank, reverse=True)
+    return lower_grants[:wanted]
 
 
 def choose_moves(
-    running: Iterable[Running],
+    running: Iterable[ActiveGrant],
     table: ServerTable,
     free: int,
-) -> list[Running]:
+) -> list[ActiveGrant]:
     """Return the streams whose token target a slow server cannot keep.
 
     :param free: slots free elsewhere, which bound the moves.
     """
-    late = [
-        held for held in running if _is_too_slow(held, table.find(held.server))
+    too_slow = [
+        grant
+        for grant in running
+        if _is_too_slow(grant, table.find(grant.server))
     ]
-    late.sort(key=_tier)
-    return late[: max(0, free)]
+    too_slow.sort(key=_tier)
+    return too_slow[: max(0, free)]
 
 
-def _may_pause(held: Running) -> bool:
-    return held.ticket.pausable and not (held.protected or held.ending)
+def _may_pause(grant: ActiveGrant) -> bool:
+    return grant.ticket.pausable and not (grant.protected or grant.ending)
 
 
-def _pause_rank(held: Running) -> tuple[int, float]:
-    return (held.ticket.tier, held.ticket.opened_s)
+def _pause_rank(grant: ActiveGrant) -> tuple[int, float]:
+    return (grant.ticket.tier, grant.ticket.opened_s)
 
 
-def _tier(held: Running) -> int:
-    return held.ticket.tier
+def _tier(grant: ActiveGrant) -> int:
+    return grant.ticket.tier
 
 
-def _is_too_slow(held: Running, server: Server | None) -> bool:
+def _is_too_slow(grant: ActiveGrant, server: Server | None) -> bool:
     if server is None or not server.slow:
         return False
-    late = 0 < held.ticket.token_s < server.limit.token_s
-    return late and held.ticket.pausable and not held.ending
+    too_slow = 0 < grant.ticket.token_s < server.limit.token_s
+    return too_slow and grant.ticket.pausable and not grant.ending
--- a/src/siskinpass/process/relay.py
+++ b/src/siskinpass/process/relay.py
@@ -20,7 +20,7 @@
 from siskinpass.process.logs import PartLog
 from siskinpass.process.metrics import Metrics
 from siskinpass.process.run import RequestRun, RunOutcome, RunTools
-from siskinpass.process.streams import StreamWatch
+from siskinpass.process.streams import StreamMonitor
 from siskinpass.request.answer import error_answer, whole_answer
 from siskinpass.request.call import Call, read_call
 from siskinpass.request.claim import ClaimState
@@ -42,7 +42,7 @@
     book: VersionBook
     dispatcher: Dispatcher
     backends: BackendPool
-    watch: StreamWatch
+    watch: StreamMonitor
     claims: Claims
     counts: CountBook
     metrics: Metrics
--- a/src/siskinpass/process/remote_port.py
+++ b/src/siskinpass/process/remote_port.py
@@ -11,8 +11,8 @@
 from contextlib import suppress
 
 from siskinpass.process import peer_pb2 as pb
+from siskinpass.process.broker_client import BrokerClient, Port
 from siskinpass.process.codec import decode_command, encode_event
-from siskinpass.process.desk import Desk, Port
 from siskinpass.process.peer_grpc import PeerStub
 from siskinpass.process.session_wire import STREAM_ERRORS, Outbox
 from siskinpass.request.ticket import Event
@@ -27,13 +27,13 @@
         self,
         stub: PeerStub,
         own: str,
-        desk: Desk,
+        broker_client: BrokerClient,
         on_lost: Callable[[Port], None],
     ) -> None:
         """Start the session; it reports its own end once."""
         self._stub = stub
         self._own = own
-        self._desk = desk
+        self._broker_client = broker_client
         self._on_lost = on_lost
         self._outbox = Outbox()
         self._unheard: deque[tuple[int, float]] = deque()
@@ -69,7 +69,7 @@
                 await stream.send_message(
                     pb.EntryBatch(
                         entry=self._own,
-                        group=self._desk.group,
+                        group=self._broker_client.group,
                         messages=[
                             encode_event(event, now_s) for event in events
                         ],
@@ -84,7 +84,7 @@
             if batch is None or not self._is_heard(batch.heard):
                 return
             if batch.messages:
-                self._desk.take(
+                self._broker_client.take(
                     self,
                     [
                         decode_command(message, self._own)
--- a/src/siskinpass/process/reserve.py
+++ b/src/siskinpass/process/reserve.py
@@ -9,10 +9,10 @@
 
 WINDOW_S = 20.0
 BUCKET_S = 0.5
-MOST_FRACTION = 0.5
+MAX_FRACTION = 0.5
 
 
-class SwingReserve:
+class PeakDemandReserve:
     """Track the demand of one tier and all above it."""
 
     def __init__(self) -> None:
@@ -37,5 +37,5 @@
         :param floor: slots to keep free in any case.
         """
         peak = max((high for _, high in self._peaks), default=0)
-        wanted = max(floor, peak - demand)
-        return min(wanted, int(capacity * MOST_FRACTION))
+        reserved = max(floor, peak - demand)
+        return min(reserved, int(capacity * MAX_FRACTION))
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -23,7 +23,7 @@
 )
 from siskinpass.process.attempt import Attempt, CallerGoneError
 from siskinpass.process.dispatcher import Dispatcher
-from siskinpass.process.streams import StreamWatch
+from siskinpass.process.streams import StreamMonitor
 from siskinpass.request.answer import error_body, stream_head, whole_answer
 from siskinpass.request.call import CHAT_PATH, Call
 from siskinpass.request.retry import RetryBudget
@@ -85,7 +85,7 @@
     name: str
     dispatcher: Dispatcher
     backends: BackendPool
-    watch: StreamWatch
+    watch: StreamMonitor
     budget: RetryBudget
     note_retry: Callable[[Code], None]
     address_of: Callable[[str], str]
--- a/src/siskinpass/process/status.py
+++ b/src/siskinpass/process/status.py
@@ -168,7 +168,7 @@
                 watch = BreachWatch(self._policy, promise.objective)
                 self._watches[node] = watch
             seconds = self._merged.window(node, last, self._policy.long_s)
-            self._note(node, watch.judge(seconds, last))
+            self._note(node, watch.evaluate(seconds, last))
         self.document = self._describe(last)
 
     def _note(self, node: str, state: NodeState) -> None:
--- a/src/siskinpass/process/streams.py
+++ b/src/siskinpass/process/streams.py
@@ -9,16 +9,16 @@
 from siskinpass.request.stream import TokenTap
 from siskinpass.request.ticket import TokensObserved
 
-SWEEP_S = 0.1
-SILENT_LEAST_S = 1.0
-SILENT_UNKNOWN_S = 5.0  # 1 s resumed streams whose tokens take a second
-SILENT_TOKEN_TIMES = 20
-FIRST_SILENT_S = 8.0
-WHOLE_SILENT_S = 15.0
-CALLER_STALLED_S = 30.0
+SWEEP_INTERVAL_S = 0.1
+MIN_GAP_TIMEOUT_S = 1.0
+DEFAULT_GAP_TIMEOUT_S = 5.0  # 1 s resumed streams whose tokens take a second
+GAP_TIMEOUT_TOKENS = 20
+FIRST_TOKEN_TIMEOUT_S = 8.0
+WHOLE_ANSWER_TIMEOUT_S = 15.0
+CALLER_STALL_TIMEOUT_S = 30.0
 
 
-class Watched(Protocol):
+class MonitoredAttempt(Protocol):
     """Describe what the watch needs of one attempt."""
 
     pool: str
@@ -37,20 +37,20 @@
 class _Progress:
     """Remember what the last sweep saw of one attempt."""
 
-    __slots__ = ('first_told', 'last_s', 'token_s', 'tokens')
+    __slots__ = ('first_reported', 'last_s', 'token_s', 'tokens')
 
-    def __init__(self, attempt: Watched) -> None:
+    def __init__(self, attempt: MonitoredAttempt) -> None:
         self.tokens = attempt.tap.tokens if attempt.tap else 0
         self.last_s = attempt.sent_s
         self.token_s = 0.0
-        self.first_told = False
+        self.first_reported = False
 
     @property
-    def silent_bound_s(self) -> float:
+    def gap_timeout_s(self) -> float:
         """Return how long a stream that has begun may be silent."""
         if self.token_s <= 0:
-            return SILENT_UNKNOWN_S
-        return max(SILENT_LEAST_S, SILENT_TOKEN_TIMES * self.token_s)
+            return DEFAULT_GAP_TIMEOUT_S
+        return max(MIN_GAP_TIMEOUT_S, GAP_TIMEOUT_TOKENS * self.token_s)
 
 
 class _Speed:
@@ -80,13 +80,13 @@
         )
 
 
-class StreamWatch:
+class StreamMonitor:
     """Sweep over the open attempts."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         """Start without attempts."""
         self._dispatcher = dispatcher
-        self._attempts: dict[Watched, _Progress] = {}
+        self._attempts: dict[MonitoredAttempt, _Progress] = {}
         self._speeds: dict[tuple[str, str], _Speed] = {}
         self._loop = asyncio.get_running_loop()
 
@@ -95,11 +95,11 @@
         """Return how many attempts are open."""
         return len(self._attempts)
 
-    def add(self, attempt: Watched) -> None:
+    def add(self, attempt: MonitoredAttempt) -> None:
         """Watch an attempt."""
         self._attempts[attempt] = _Progress(attempt)
 
-    def discard(self, attempt: Watched) -> None:
+    def discard(self, attempt: MonitoredAttempt) -> None:
         """Stop watching an attempt; its last tokens are still told of."""
         progress = self._attempts.pop(attempt, None)
         if progress is not None:
@@ -108,20 +108,20 @@
     async def run(self) -> None:
         """Sweep for ever."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now_s = self._loop.time()
             for attempt, progress in tuple(self._attempts.items()):
                 self._measure(attempt, progress)
                 self._check(attempt, progress, now_s)
-            self._tell()
+            self._report()
 
-    def _tell(self) -> None:
+    def _report(self) -> None:
         """Tell the brokers of each server's speed, once a sweep."""
         speeds, self._speeds = self._speeds, {}
         for (pool, server), speed in speeds.items():
             self._dispatcher.observe(pool, speed.observed(server))
 
-    def _measure(self, attempt: Watched, progress: _Progress) -> None:
+    def _measure(self, attempt: MonitoredAttempt, progress: _Progress) -> None:
         tap = attempt.tap
         if tap is None or attempt.stalled_s:
             return
@@ -129,10 +129,10 @@
         if count <= 0:
             return
         first_s = 0.0
-        if not progress.first_told:
+        if not progress.first_reported:
             # The first token's time is told apart from the time between
             # tokens; a resumed stream counts from its own start.
-            progress.first_told = True
+            progress.first_reported = True
             first_s = max(0.0, attempt.first_token_s - attempt.sent_s)
             progress.last_s = attempt.first_token_s
             count -= 1
@@ -148,20 +148,20 @@
 
     def _check(
         self,
-        attempt: Watched,
+        attempt: MonitoredAttempt,
         progress: _Progress,
         now_s: float,
     ) -> None:
         if attempt.stalled_s:
-            if now_s - attempt.stalled_s > CALLER_STALLED_S:
+            if now_s - attempt.stalled_s > CALLER_STALL_TIMEOUT_S:
                 attempt.drop_caller()
             return
         if attempt.tap is None:
-            silent_s, bound_s = now_s - attempt.sent_s, WHOLE_SILENT_S
-        elif progress.first_told:
+            silent_s, timeout_s = now_s - attempt.sent_s, WHOLE_ANSWER_TIMEOUT_S
+        elif progress.first_reported:
             silent_s = now_s - progress.last_s
-            bound_s = progress.silent_bound_s
+            timeout_s = progress.gap_timeout_s
         else:
-            silent_s, bound_s = now_s - attempt.sent_s, FIRST_SILENT_S
-        if silent_s > bound_s:
+            silent_s, timeout_s = now_s - attempt.sent_s, FIRST_TOKEN_TIMEOUT_S
+        if silent_s > timeout_s:
             attempt.break_off(BackendError(Code.stream_silent))
--- a/tests/test_breach.py
+++ b/tests/test_breach.py
@@ -21,7 +21,7 @@
     changes = []
     last = 'holding'
     for at in range(1, len(trace) + 1):
-        state = watch.judge(trace[max(0, at - 30) : at], at).state.value
+        state = watch.evaluate(trace[max(0, at - 30) : at], at).state.value
         if state != last:
             changes.append((at, state))
         last = state
@@ -80,7 +80,7 @@
         """The cause tells slow back ends from too much demand."""
         watch = BreachWatch(BreachPolicy(), 0.99)
         trace = seconds(QUIET, (10, 20, 20, slow))
-        assert watch.judge(trace[-30:], 40).cause is cause
+        assert watch.evaluate(trace[-30:], 40).cause is cause
 
 
 class TestCounts:
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -186,7 +186,7 @@
 
     def test_lowest_tier_is_shed_first(self):
         """A full queue sheds a draft for a counter request."""
-        made = broker(servers=1, queue_most=2, pauses=False)
+        made = broker(servers=1, max_queued=2, pauses=False)
         for number in range(4):
             made.apply(TicketOpened(ticket(f'd{number}', 5)), 0.0)
         commands = made.apply(TicketOpened(ticket('c', 0, 1.0)), 1.0)
@@ -196,7 +196,7 @@
 
     def test_upper_tier_is_not_shed_for_a_lower_one(self):
         """A draft that finds the queue full of upper requests is refused."""
-        made = broker(servers=1, queue_most=2, pauses=False)
+        made = broker(servers=1, max_queued=2, pauses=False)
         for number in range(4):
             made.apply(TicketOpened(ticket(f'c{number}', 0)), 0.0)
         commands = made.apply(TicketOpened(ticket('d', 5, 1.0)), 1.0)
@@ -230,7 +230,7 @@
 
     def test_resumed_stream_is_never_refused(self):
         """A stream that has begun is brought to its end."""
-        made = broker(servers=0, queue_most=0)
+        made = broker(servers=0, max_queued=0)
         begun = ticket('c', patience_s=0.1, resumed=True)
         assert not made.apply(TicketOpened(begun), 5.0)
         assert not made.apply(ClockTicked(), 60.0)
@@ -319,12 +319,12 @@
     @initialize(
         servers=st.integers(1, 3),
         slots=st.integers(1, 3),
-        queue_most=st.integers(2, 10),
+        max_queued=st.integers(2, 10),
     )
-    def start(self, servers, slots, queue_most):
+    def start(self, servers, slots, max_queued):
         """Start with some backend servers."""
         self.limit = LimitPolicy(start=slots, least=1, most=slots)
-        self.policy = BrokerPolicy(limit=self.limit, queue_most=queue_most)
+        self.policy = BrokerPolicy(limit=self.limit, max_queued=max_queued)
         self.broker = Broker(self.policy)
         self.now_s = 0.0
         self.number = 0
@@ -443,7 +443,7 @@
     def queue_is_bounded(self):
         """Only streams that have begun may wait beyond the bound."""
         fresh = [one for one in self.waiting.values() if not one.resumed]
-        assert len(fresh) <= self.policy.queue_most
+        assert len(fresh) <= self.policy.max_queued
 
 
 TestBrokerMachine = BrokerMachine.TestCase
--- a/tests/test_small_parts.py
+++ b/tests/test_small_parts.py
@@ -6,7 +6,7 @@
 
 from siskinpass.process.limits import LimitPolicy, Sample, SlotLimit
 from siskinpass.process.rendezvous import holder, rank
-from siskinpass.process.reserve import WINDOW_S, SwingReserve
+from siskinpass.process.reserve import WINDOW_S, PeakDemandReserve
 from siskinpass.process.throughput import WINDOW_S as RATE_WINDOW_S
 from siskinpass.process.throughput import GrantRate
 from siskinpass.request.retry import BURST, RetryBudget
@@ -66,7 +66,7 @@
 
     def test_follows_recent_swing(self):
         """What was needed a moment ago is kept free, then given back."""
-        reserve = SwingReserve()
+        reserve = PeakDemandReserve()
         reserve.observe(10, 0.0)
         reserve.observe(2, 1.0)
         assert reserve.slots(2, 100, 1) == 8
@@ -75,7 +75,7 @@
 
     def test_never_more_than_half(self):
         """A past crest does not lock the lower tiers out."""
-        reserve = SwingReserve()
+        reserve = PeakDemandReserve()
         reserve.observe(500, 0.0)
         assert reserve.slots(0, 40, 1) == 20
 
