--- a/src/siskinpass/process/breach.py
+++ b/src/siskinpass/process/breach.py
@@ -1,10 +1,11 @@
-"""Raise a breach only when a promise is truly at risk.
-
-Pure logic: each second the merged tallies of a node go in, its state comes
-out. The burn rate is the fraction of missed requests over the fraction that
-the objective allows. A breach needs a high rate in the short and the long
-window, spread over several seconds; it ends when the short window has been
-good for a while.
+"""Detect breached service-level promises from their burn rates.
+
+Pure logic: each second the merged tallies of a node of the tree go in and the
+state of its promise comes out. The burn rate is the fraction of requests that
+missed a target, divided by the fraction that the objective allows (the error
+budget). To avoid false alarms, a breach requires a high burn rate in both the
+short and the long window, with misses spread over several seconds. It is
+cleared once the short window has stayed within the error budget for a while.
 """
 
 import enum
@@ -12,11 +13,11 @@
 
 from siskinpass.process.counts import Tally, merge
 
-MIN_ALLOWED_MISSES = 0.001
+MIN_ERROR_BUDGET = 0.001  # keeps the burn rate finite for an objective of 1
 
 
 class PromiseState(enum.Enum):
-    """Tell how a promise stands."""
+    """State of a promise."""
 
     holding = 'holding'
     at_risk = 'at_risk'
@@ -24,7 +25,7 @@
 
 
 class Cause(enum.Enum):
-    """Tell why a promise is not kept."""
+    """Main cause of the misses in the short window."""
 
     none = 'none'
     demand = 'demand_beyond_capacity'
@@ -33,15 +34,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BreachPolicy:
-    """Set when a breach is raised and cleared.
-
-    :param short_s: short window in seconds.
-    :param long_s: long window in seconds.
-    :param short_burn: burn rate that the short window must reach.
-    :param long_burn: burn rate that the long window must reach.
-    :param bad_seconds: seconds of the short window that must hold a miss.
-    :param least: requests that the long window must hold.
-    :param clear_s: seconds of good short windows that end a breach.
+    """Conditions under which a breach is raised and cleared.
+
+    :param short_s: length of the short window in seconds.
+    :param long_s: length of the long window in seconds.
+    :param short_burn: minimum burn rate of the short window for a breach.
+    :param long_burn: minimum burn rate of the long window for a breach.
+    :param min_bad_seconds: minimum number of seconds of the short window that
+        contain a miss.
+    :param min_requests: minimum number of requests in the long window; with
+        fewer the promise counts as holding.
+    :param clear_s: consecutive seconds in which the promise must hold before
+        a breach is cleared.
     """
 
     short_s: int = 5
@@ -55,7 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeState:
-    """Hold how the promise of one node stands."""
+    """State of the promise of one node.
+
+    :param burn: burn rate of the short window.
+    :param since_s: second in which the state was entered.
+    """
 
     state: PromiseState
     cause: Cause
@@ -64,19 +72,27 @@
 
 
 class BreachWatch:
-    """Follow the promise of one node."""
+    """State machine for the promise of one node."""
 
     def __init__(self, policy: BreachPolicy, objective: float) -> None:
-        """Start with the promise holding."""
+        """Start in the state ``holding``.
+
+        :param objective: fraction of requests that must meet their targets.
+        """
         self._policy = policy
-        self._allowed = max(MIN_ALLOWED_MISSES, 1 - objective)
+        self._error_budget = max(MIN_ERROR_BUDGET, 1 - objective)
         self._state = PromiseState.holding
-        self._cause = Cause.none
+        self._main_cause = Cause.none
         self._since_s = 0
         self._good_s = 0
 
     def evaluate(self, seconds: list[Tally], now_s: int) -> NodeState:
-        """Take in the tallies of the long window, oldest first."""
+        """Return the state after one more second; call it once a second.
+
+        :param seconds: one tally for each second of the long window, oldest
+            first.
+        :param now_s: last second of the window.
+        """
         policy = self._policy
         recent = seconds[-policy.short_s :]
         short = merge(recent)
@@ -85,12 +101,12 @@
         bad = sum(bool(tally.missed) for tally in recent)
         new_state = self._classify(burn, self._burn(whole), bad, whole.total)
         self._transition(new_state, short, now_s)
-        return NodeState(self._state, self._cause, burn, self._since_s)
+        return NodeState(self._state, self._main_cause, burn, self._since_s)
 
     def _burn(self, tally: Tally) -> float:
         if not tally.total:
             return 0.0
-        return tally.missed / tally.total / self._allowed
+        return tally.missed / tally.total / self._error_budget
 
     def _classify(
         self,
@@ -120,10 +136,10 @@
         if new_state is not self._state:
             self._state = new_state
             self._since_s = now_s
-        self._cause = _cause(new_state, short)
+        self._main_cause = _main_cause(new_state, short)
 
 
-def _cause(state: PromiseState, short: Tally) -> Cause:
+def _main_cause(state: PromiseState, short: Tally) -> Cause:
     if state is PromiseState.holding:
         return Cause.none
     if short.slow_backend * 2 > short.missed:
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -1,8 +1,9 @@
 """Grant the slots of one group of backend servers in priority order.
 
-Pure logic: events and a clock go in, commands come out. One live instance
-holds the broker of a group; its state is soft and is told again by the
-entry instances when the broker moves.
+Pure logic: events and clock readings go in, commands come out. Where instances
+share a broker, one live instance runs it. Its state is kept in memory only;
+when the broker moves to another instance, the entry instances send their
+tickets and grants to the new one.
 """
 
 from collections.abc import Iterable
@@ -36,26 +37,31 @@
 
 MS_PER_S = 1000
 MIN_RETRY_MS = 200
-# A ticket whose server has a backlog does not hold up these behind it.
+# Tickets tried per tier in one pass, so that a ticket that no server can take
+# now does not block the tickets behind it.
 MAX_CANDIDATES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class BrokerPolicy:
-    """Set how a broker decides.
+    """Configuration of a broker.
 
     :param limit: bounds of the slots of each backend server.
-    :param queue_most: tickets that may wait in the whole group.
-    :param reserve_floor: slots kept free for the most urgent tier.
-    :param in_order: whether tiers and targets order the queue; without it
-        tickets are served as they come.
-    :param pauses: whether lower tiers are paused for upper ones.
-    :param at_random: whether placement takes any server with a free slot.
-    :param chooser: chooses among the servers with a free slot.
-    :param moves: whether streams leave servers that became slow.
-    :param memory_tokens: tokens that the memory of each engine holds.
-    :param probe_after: failures in a row after which a server gets one
-        request at a time.
+    :param max_queued: maximum number of waiting tickets in the group; streams
+        that resume do not count.
+    :param reserve_floor: minimum number of slots that each tier leaves free
+        for the tiers above it.
+    :param by_priority: whether tiers, latency targets and shares order the
+        queue; otherwise tickets are served first come, first served.
+    :param pauses: whether streams of lower tiers are paused when requests of
+        upper tiers wait.
+    :param at_random: whether placement picks a random server with a free slot.
+    :param chooser: chooses among the servers with a free slot, in place of
+        the built-in placement.
+    :param moves: whether streams are moved off servers that became slow.
+    :param memory_tokens: capacity of each engine's KV cache in tokens.
+    :param probe_after: consecutive failures after which a server gets only
+        one request at a time.
     """
 
     limit: LimitPolicy = field(default_factory=LimitPolicy)
@@ -74,7 +80,6 @@
     """Order the tickets of one group and grant its slots."""
 
     def __init__(self, policy: BrokerPolicy) -> None:
-        """Start without servers, tickets or grants."""
         self._policy = policy
         self._table = ServerTable(
             policy.limit,
@@ -92,24 +97,24 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many tickets wait."""
+        """Return the number of waiting tickets."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Return how many slots are granted."""
+        """Return the number of granted slots."""
         return len(self._grants)
 
     @property
     def table(self) -> ServerTable:
-        """Return the backend servers of the group."""
+        """Return the state of the group's backend servers."""
         return self._table
 
     def apply(self, event: Event, now_s: float) -> list[Command]:
-        """Take in one event and return the commands that follow from it.
+        """Apply one event and return the resulting commands.
 
-        :param event: what happened.
-        :param now_s: the clock in seconds; it never goes back.
+        :param now_s: monotonic clock in seconds; a reading earlier than the
+            previous one is ignored.
         """
         return self.apply_all((event,), now_s)
 
@@ -118,7 +123,10 @@
         events: Iterable[Event],
         now_s: float,
     ) -> list[Command]:
-        """Take in events that came together, and decide once."""
+        """Apply a batch of events, then make decisions once for all of them.
+
+        :param now_s: as in :meth:`apply`.
+        """
         self._now_s = max(self._now_s, now_s)
         for event in events:
             self._handle_event(event)
@@ -276,7 +284,7 @@
         return True
 
     def _pause_for(self, tier: int) -> None:
-        """Pause one lower stream for each ticket that waits in the tier."""
+        """Pause streams below a tier, one per ticket waiting in or above it."""
         waiting = self._waiting.count_above(tier)
         for grant in choose_pauses(self._grants.running, tier, waiting):
             grant.ending = True
--- a/src/siskinpass/process/broker_client.py
+++ b/src/siskinpass/process/broker_client.py
@@ -1,7 +1,7 @@
-"""Keep the open tickets and held grants of this entry for one group.
+"""Hold the waiting and granted tickets of this entry instance for one group.
 
-The desk speaks to one broker at a time through a port. When the broker
-moves or falls silent it tells everything again to the next one.
+The client is connected to one broker at a time through a port. When the broker
+moves or stops responding, the client sends all tickets and grants to the next.
 """
 
 from collections.abc import Callable
@@ -25,34 +25,37 @@
 
 
 class TicketListener(Protocol):
-    """Wait for what a broker decides about one ticket."""
+    """Callbacks for the decisions of a broker on one ticket."""
 
     def granted(self, server: str) -> None:
-        """Take in that the ticket has a slot."""
+        """Handle the grant of a slot on a backend server."""
 
     def refused(self, refusal: Refused) -> None:
-        """Take in that the ticket is given up on."""
+        """Handle the refusal of the ticket; no further call follows."""
 
     def paused(self) -> None:
-        """Take in that the stream must make room."""
+        """Handle the request to stop the stream in favor of an upper tier."""
 
     def moved(self) -> None:
-        """Take in that the stream must go on elsewhere."""
+        """Handle the request to resume the stream on another server."""
 
 
 class Port(Protocol):
-    """Carry events to one broker."""
+    """Session with one broker."""
 
     def send(self, events: list[Event]) -> None:
         """Send events in order."""
 
     def close(self) -> None:
-        """Stop speaking to the broker."""
+        """End the session with the broker."""
 
 
 @dataclass(slots=True)
 class _TicketRecord:
-    """Hold one ticket and who waits for it."""
+    """A ticket with its listener.
+
+    :param server: backend server of the granted slot, empty while waiting.
+    """
 
     ticket: Ticket
     listener: TicketListener
@@ -60,14 +63,16 @@
 
 
 class BrokerClient:
-    """Own the tickets of this entry for one group."""
+    """Client of the broker of one group, for the tickets of this entry."""
 
     def __init__(
         self, group: str, on_port_needed: Callable[['BrokerClient'], None]
     ) -> None:
-        """Start without a broker.
+        """Start without a port.
 
-        :param on_use: called when there is something to tell and no port.
+        :param on_port_needed: called when an event is due and no port is
+            attached; it should call :meth:`attach`, which sends the event as
+            part of the current state.
         """
         self.group = group
         self._on_port_needed = on_port_needed
@@ -77,40 +82,50 @@
 
     @property
     def open_tickets(self) -> int:
-        """Return how many tickets wait."""
+        """Return the number of waiting tickets."""
         return sum(not record.server for record in self._records.values())
 
     @property
     def tickets(self) -> int:
-        """Return how many tickets wait or hold a slot."""
+        """Return the number of tickets that wait or hold a slot."""
         return len(self._records)
 
     def ask(self, ticket: Ticket, listener: TicketListener) -> None:
-        """Open a ticket."""
+        """Open a ticket.
+
+        :param listener: called with the broker's decisions on it.
+        """
         self._records[ticket.ticket_id] = _TicketRecord(ticket, listener)
         self._send(TicketOpened(ticket))
 
     def withdraw(self, ticket_id: str) -> None:
-        """Take back a ticket, whether it waits or holds a slot."""
+        """Withdraw a ticket, whether it waits or holds a slot."""
         if self._records.pop(ticket_id, None) is not None:
             self._send(GrantReleased(ticket_id))
 
     def release(self, ticket_id: str, *, failed: bool) -> None:
-        """Give a slot back."""
+        """Release a granted slot.
+
+        :param failed: whether the backend server failed the request.
+        """
         if self._records.pop(ticket_id, None) is not None:
             self._send(GrantReleased(ticket_id, failed))
 
     def observe(self, observed: TokensObserved) -> None:
-        """Tell the broker of a server's speed."""
+        """Report the speed of a server, or drop it if no port is attached."""
         if self._port is not None:
             self._port.send([observed])
 
     def is_attached_to(self, port: Port) -> bool:
-        """Tell whether a port is the one in use."""
+        """Return whether a port is the one in use."""
         return port is self._port
 
     def attach(self, port: Port, broker: str) -> None:
-        """Tell everything to a new broker."""
+        """Switch to a new broker and send it all tickets and grants.
+
+        :param port: replaces the current port, which is closed.
+        :param broker: name of the broker that the port leads to.
+        """
         if self._port is not None:
             self._port.close()
         self._port = port
@@ -124,7 +139,11 @@
         port.send(events)
 
     def detach(self) -> None:
-        """Stop speaking to the broker, and find another on the next use."""
+        """Close the port.
+
+        A new one is requested at once if there are tickets, else when the next
+        event is due.
+        """
         if self._port is not None:
             self._port.close()
         self._port = None
@@ -133,7 +152,7 @@
             self._on_port_needed(self)
 
     def take(self, port: Port, commands: list[Command]) -> None:
-        """Take in what the broker decided; an old broker is not heard."""
+        """Handle commands of the broker; those of an old port are ignored."""
         if port is not self._port:
             return
         for command in commands:
--- a/src/siskinpass/process/demand.py
+++ b/src/siskinpass/process/demand.py
@@ -1,7 +1,7 @@
-"""Follow how many requests of each tier run or wait.
+"""Track the running and waiting requests of each tier.
 
-Pure logic: from the demand of the tiers above follows how many slots a tier
-must leave free.
+Pure logic. The demand of the upper tiers determines how many slots a lower
+tier must leave free.
 """
 
 from collections import Counter
@@ -10,28 +10,32 @@
 
 
 class Demand:
-    """Count the requests of each tier that run or wait."""
+    """Number of running and waiting requests per tier, with its peaks."""
 
     def __init__(self) -> None:
-        """Start without requests."""
         self._counts: Counter[int] = Counter()
         self._reserves: dict[int, PeakDemandReserve] = {}
 
     def add(self, tier: int, step: int, now_s: float) -> None:
-        """Count a request that came or went."""
+        """Change the number of requests of a tier.
+
+        :param step: 1 for a request that arrived, -1 for one that ended.
+        """
         self._counts[tier] += step
         self._record(tier, now_s)
 
     def tick(self, now_s: float) -> None:
-        """Note the demand of all tiers as time passes."""
+        """Record the demand of all tiers, so that old peaks expire."""
         for tier in self._counts:
             self._record(tier, now_s)
 
     def reserved_above(self, tier: int, capacity: int, floor: int) -> int:
-        """Return the slots that a tier must leave to those above.
+        """Return the slots that a tier must leave free for the tiers above.
+
+        It is the largest reserve of any tier above; 0 if none was seen yet.
 
         :param capacity: slots of the whole group.
-        :param floor: slots to leave in any case.
+        :param floor: minimum reserve of each tier above.
         """
         reserved = [
             reserve.slots(self._cumulative(upper), capacity, floor)
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -1,4 +1,4 @@
-"""Keep the granted slots of one group and what they load on its servers.
+"""Track the granted slots of one group and their load on its servers.
 
 Pure logic.
 """
@@ -29,27 +29,23 @@
 
 
 class ActiveGrants:
-    """Hold the granted tickets and count them on their servers."""
+    """Granted slots of a group, accounted to their servers in its table."""
 
     def __init__(self, table: ServerTable) -> None:
-        """Start without grants.
-
-        :param table: servers of the group.
-        """
         self._table = table
         self._running: dict[str, ActiveGrant] = {}
 
     def __len__(self) -> int:
-        """Return how many slots are granted."""
+        """Return the number of granted slots."""
         return len(self._running)
 
     def __contains__(self, ticket_id: str) -> bool:
-        """Tell whether a ticket holds a slot."""
+        """Return whether a ticket holds a slot."""
         return ticket_id in self._running
 
     @property
     def running(self) -> Iterable[ActiveGrant]:
-        """Return the granted slots."""
+        """Return the granted slots, in the order in which they were added."""
         return self._running.values()
 
     def start(
@@ -60,7 +56,13 @@
         *,
         is_protected: bool,
     ) -> int:
-        """Count a new grant and return the tokens that its server reads."""
+        """Account a new grant to its server.
+
+        :param is_protected: whether the guaranteed share of the tier paid for
+            the slot, so that the stream is never paused.
+        :returns: prompt tokens that the server has to prefill because they are
+            not in its KV cache.
+        """
         name = server.view.name
         cache = self._table.cache
         unread = ticket.tokens_in - cache.cached(name, ticket.pieces)
@@ -73,7 +75,10 @@
         return unread
 
     def add_reported(self, event: GrantReported) -> None:
-        """Count a grant that an entry got from the broker before."""
+        """Account a grant that an entry got from a previous broker.
+
+        Its prompt counts as prefilled.
+        """
         ticket = event.ticket
         self._running[ticket.ticket_id] = ActiveGrant(ticket, event.server)
         server = self._table.find(event.server)
@@ -81,7 +86,10 @@
             server.add(ticket_load(ticket, 0))
 
     def remove(self, event: GrantReleased, now_s: float) -> Ticket | None:
-        """Take a grant off and return its ticket, none where unknown."""
+        """Remove a released grant and record its outcome on the server.
+
+        :returns: ticket of the grant, or ``None`` if it is unknown.
+        """
         grant = self._running.pop(event.ticket_id, None)
         if grant is None:
             return None
@@ -94,7 +102,7 @@
         return grant.ticket
 
     def apply(self, event: LoadEvent, now_s: float) -> None:
-        """Take in what changes the load or the list of the servers."""
+        """Apply an event that changes the list, load or speed of servers."""
         self._handle_event(event, now_s)
 
     @singledispatchmethod
@@ -143,7 +151,7 @@
             server.running = counted[server.view.name]
 
     def held_by(self, entry: str) -> list[str]:
-        """Return the tickets that an entry holds."""
+        """Return the ids of the tickets of an entry that hold slots."""
         return [
             ticket_id
             for ticket_id, grant in self._running.items()
--- a/src/siskinpass/process/orders.py
+++ b/src/siskinpass/process/orders.py
@@ -1,8 +1,9 @@
-"""Decide which models the engines are ordered to hold.
+"""Decide which engines are ordered to change their loaded models.
 
-Pure logic. An order states a target, never a step, so that it is harmless
-when it comes twice or late; it carries the fencing number of the lease under
-which it was made. Few engines load at once, since the weight store is slow.
+Pure logic. An order states the full set of models, not a change to it, so it
+is idempotent: a duplicate or delayed order does no harm. It carries the fencing
+number of the lease under which it was made. ``MAX_LOADING`` bounds the engines
+that load at the same time, because the weight store is slow.
 """
 
 from collections.abc import Iterable
@@ -14,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """Hold what an engine last told of itself.
+    """Last known state of an engine.
 
-    :param models: models that it holds, none where it did not answer.
+    :param models: models that it has loaded, ``None`` if it did not answer.
     """
 
     name: str
@@ -25,7 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Ask an engine to hold just these models."""
+    """An order to an engine to have exactly these models loaded.
+
+    :param fence: fencing number of the lease.
+    """
 
     engine: str
     models: tuple[str, ...]
@@ -33,10 +37,9 @@
 
 
 class OrderPlan:
-    """Follow the engines towards their targets."""
+    """Orders of one pool, sent until its engines report the wanted models."""
 
     def __init__(self) -> None:
-        """Start without open orders."""
         self._sent_s: dict[str, float] = {}
 
     def next_orders(
@@ -48,7 +51,11 @@
     ) -> list[Order]:
         """Return the orders to send now.
 
-        :param wanted: models that each engine is to hold.
+        Engines that did not answer get none. An order that has not taken
+        effect after ``REPEAT_S`` is due to be sent again.
+
+        :param wanted: models that each engine should have loaded.
+        :param fence: fencing number of the current lease.
         """
         known = sorted(reports, key=_name)
         mismatched = [
@@ -68,7 +75,7 @@
         return orders
 
     def _prune_sent(self, mismatched: Iterable[str], now_s: float) -> None:
-        """Drop orders that were carried out, and those to be repeated."""
+        """Drop the orders that took effect and those due to be repeated."""
         outstanding = frozenset(mismatched)
         self._sent_s = {
             name: sent_s
--- a/src/siskinpass/process/policies.py
+++ b/src/siskinpass/process/policies.py
@@ -1,4 +1,4 @@
-"""Turn the tree's pools and the process settings into broker policies."""
+"""Derive broker policies from the tree's pools and the process settings."""
 
 from siskinpass.process.broker import BrokerPolicy
 from siskinpass.process.limits import LimitPolicy
@@ -12,14 +12,14 @@
 def broker_policy(
     decisions: str, pool: Pool, instance_count: int
 ) -> BrokerPolicy:
-    """Return how a broker decides for a pool.
+    """Return the policy of a broker for a pool.
 
     :param decisions: process setting of that name.
-    :param sharers: instances that share the pool's slots, each with a broker
-        of its own.
+    :param instance_count: instances that divide the pool's slots among them,
+        each with its own broker; 1 where one broker serves all instances.
     """
     if decisions in {LEAST_OUTSTANDING, FIFO_RANDOM}:
-        # These baselines leave all waiting to the backend servers.
+        # These baselines do not queue; requests wait at the backend servers.
         return BrokerPolicy(
             LimitPolicy(start=UNLIMITED, least=UNLIMITED, most=UNLIMITED),
             by_priority=False,
--- a/src/siskinpass/process/preemption.py
+++ b/src/siskinpass/process/preemption.py
@@ -1,4 +1,4 @@
-"""Choose the streams that make room or go on elsewhere.
+"""Choose which streams to pause for upper tiers or move off slow servers.
 
 Pure logic over the granted slots of one group.
 """
@@ -10,29 +10,32 @@
 from siskinpass.request.ticket import ServerLoad, Ticket
 
 MAX_CONCURRENT_PAUSES = 8
-
-
-MAX_TIERS = 10  # tiers beyond it share the last place of a load
+MAX_TIERS = 10  # lower tiers share the last element of ``ServerLoad.unread``
 
 
 def ticket_load(ticket: Ticket, unread: int) -> ServerLoad:
-    """Return the load of a ticket with a number of unread tokens."""
+    """Return the load that one ticket puts on its server.
+
+    :param unread: tokens of its prompt that are not prefilled yet.
+    """
     return ServerLoad(1, int(ticket.is_tight), unread_by_tier(ticket, unread))
 
 
 def unread_by_tier(ticket: Ticket, unread: int) -> tuple[int, ...]:
-    """Return unread tokens at the place of the ticket's tier."""
+    """Return ``ServerLoad.unread`` for one ticket: zeros but for its tier."""
     tier = min(max(0, ticket.tier), MAX_TIERS - 1)
     return (*(0 for _ in range(tier)), unread)
 
 
 @dataclass(slots=True)
 class ActiveGrant:
-    """Hold one granted slot.
+    """A granted slot.
 
-    :param protected: granted by the share of its tier, so never paused.
-    :param ending: told to pause or to move; its slot is not free yet.
-    :param unread: prompt tokens that its server has yet to read.
+    :param server: name of the backend server.
+    :param protected: granted from the guaranteed share of its tier, so never
+        paused.
+    :param ending: asked to pause or move, but its slot is not released yet.
+    :param unread: prompt tokens that its server has not prefilled yet.
     """
 
     ticket: Ticket
@@ -43,7 +46,7 @@
 
     @property
     def load(self) -> ServerLoad:
-        """Return what it adds to its server."""
+        """Return its current contribution to the load of its server."""
         return ticket_load(self.ticket, self.unread)
 
 
@@ -52,10 +55,13 @@
     tier: int,
     waiting: int,
 ) -> list[ActiveGrant]:
-    """Return the lower streams to pause, one for each waiting ticket.
+    """Return the streams of lower tiers to pause for waiting tickets.
 
-    The lowest tier goes first and in it the stream that came last.
+    One stream is paused per waiting ticket, less the grants that are ending
+    already. The lowest tier is paused first, and within a tier the stream
+    whose request arrived last.
 
+    :param tier: only streams of lower tiers than this one are paused.
     :param waiting: tickets that wait in this tier and those above.
     """
     slots = tuple(running)
@@ -77,9 +83,12 @@
     table: ServerTable,
     free: int,
 ) -> list[ActiveGrant]:
-    """Return the streams whose token target a slow server cannot keep.
+    """Return the streams to move because a slow server misses their target.
+
+    The target is that of the mean time between tokens. Streams of the most
+    urgent tiers are moved first.
 
-    :param free: slots free elsewhere, which bound the moves.
+    :param free: free slots of the group, the maximum number of moves.
     """
     too_slow = [
         grant
--- a/src/siskinpass/process/reserve.py
+++ b/src/siskinpass/process/reserve.py
@@ -1,8 +1,9 @@
-"""Keep slots free for upper tiers by the swings they recently showed.
+"""Size the slot reserve of upper tiers from their recent peak demand.
 
-Pure logic. For each tier the demand is the number of its requests, and of
-those above it, that run or wait. The reserve is the difference between the
-highest demand of the window and the demand now.
+Pure logic. The demand of a tier is the number of running or waiting requests
+of that tier and all above it. The reserve is the peak demand of a sliding
+window minus the current demand, so that demand can return to its peak without
+waiting for slots held by lower tiers.
 """
 
 from collections import deque
@@ -13,14 +14,18 @@
 
 
 class PeakDemandReserve:
-    """Track the demand of one tier and all above it."""
+    """Peak demand of one tier and those above it, over a sliding window."""
 
     def __init__(self) -> None:
-        """Start with an empty window."""
         self._peaks: deque[tuple[float, int]] = deque()
 
     def observe(self, demand: int, now_s: float) -> None:
-        """Note the demand of now."""
+        """Record the current demand.
+
+        Only the peak of each ``BUCKET_S`` is kept.
+
+        :param demand: requests of these tiers that run or wait now.
+        """
         while self._peaks and self._peaks[0][0] < now_s - WINDOW_S:
             self._peaks.popleft()
         if self._peaks and now_s - self._peaks[-1][0] < BUCKET_S:
@@ -30,11 +35,14 @@
             self._peaks.append((now_s, demand))
 
     def slots(self, demand: int, capacity: int, floor: int) -> int:
-        """Return the slots to keep free for this tier and those above.
+        """Return the number of slots to keep free for these tiers.
+
+        It never exceeds ``MAX_FRACTION`` of the capacity, so that a past peak
+        cannot lock out the lower tiers.
 
         :param demand: requests of these tiers that run or wait now.
         :param capacity: slots of the whole group.
-        :param floor: slots to keep free in any case.
+        :param floor: minimum number of slots to keep free.
         """
         peak = max((high for _, high in self._peaks), default=0)
         reserved = max(floor, peak - demand)
--- a/src/siskinpass/process/streams.py
+++ b/src/siskinpass/process/streams.py
@@ -1,4 +1,4 @@
-"""Watch all open streams for their speed and their silence."""
+"""Measure the token times of open streams and abort those that went silent."""
 
 import asyncio
 from typing import Protocol
@@ -11,7 +11,9 @@
 
 SWEEP_INTERVAL_S = 0.1
 MIN_GAP_TIMEOUT_S = 1.0
-DEFAULT_GAP_TIMEOUT_S = 5.0  # 1 s resumed streams whose tokens take a second
+# Used until a token time is known. With 1 s, healthy streams that took a second
+# per token were cut and resumed.
+DEFAULT_GAP_TIMEOUT_S = 5.0
 GAP_TIMEOUT_TOKENS = 20
 FIRST_TOKEN_TIMEOUT_S = 8.0
 WHOLE_ANSWER_TIMEOUT_S = 15.0
@@ -19,7 +21,12 @@
 
 
 class MonitoredAttempt(Protocol):
-    """Describe what the watch needs of one attempt."""
+    """Interface that the monitor needs of an attempt.
+
+    :ivar tap: counts the tokens of a stream, ``None`` for a whole answer.
+    :ivar sent_s: when the request was sent.
+    :ivar stalled_s: since when the caller does not read, 0 while it reads.
+    """
 
     pool: str
     server: str
@@ -28,14 +35,14 @@
     stalled_s: float
 
     def break_off(self, error: BackendError) -> None:
-        """End the attempt."""
+        """Fail the attempt and stop the backend server's work on it."""
 
     def drop_caller(self) -> None:
-        """Give up a caller that does not read."""
+        """End the attempt because its caller does not read."""
 
 
 class _Progress:
-    """Remember what the last sweep saw of one attempt."""
+    """State of one attempt at the last sweep."""
 
     __slots__ = ('first_reported', 'last_s', 'token_s', 'tokens')
 
@@ -47,14 +54,14 @@
 
     @property
     def gap_timeout_s(self) -> float:
-        """Return how long a stream that has begun may be silent."""
+        """Return the longest gap between tokens of a stream, in seconds."""
         if self.token_s <= 0:
             return DEFAULT_GAP_TIMEOUT_S
         return max(MIN_GAP_TIMEOUT_S, GAP_TIMEOUT_TOKENS * self.token_s)
 
 
 class _Speed:
-    """Add up what one sweep saw of one backend server."""
+    """Token times of one backend server, summed over one sweep."""
 
     __slots__ = ('count', 'first_count', 'first_sum_s', 'sum_s')
 
@@ -81,10 +88,13 @@
 
 
 class StreamMonitor:
-    """Sweep over the open attempts."""
+    """Periodically checks all open attempts."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        """Start without attempts."""
+        """Create a monitor; requires a running event loop.
+
+        :param dispatcher: receives the speeds of the backend servers.
+        """
         self._dispatcher = dispatcher
         self._attempts: dict[MonitoredAttempt, _Progress] = {}
         self._speeds: dict[tuple[str, str], _Speed] = {}
@@ -92,21 +102,21 @@
 
     @property
     def open_streams(self) -> int:
-        """Return how many attempts are open."""
+        """Return the number of open attempts."""
         return len(self._attempts)
 
     def add(self, attempt: MonitoredAttempt) -> None:
-        """Watch an attempt."""
+        """Start monitoring an attempt."""
         self._attempts[attempt] = _Progress(attempt)
 
     def discard(self, attempt: MonitoredAttempt) -> None:
-        """Stop watching an attempt; its last tokens are still told of."""
+        """Stop monitoring an attempt; its last tokens are still reported."""
         progress = self._attempts.pop(attempt, None)
         if progress is not None:
             self._measure(attempt, progress)
 
     async def run(self) -> None:
-        """Sweep for ever."""
+        """Check all attempts every ``SWEEP_INTERVAL_S`` until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             now_s = self._loop.time()
@@ -116,7 +126,7 @@
             self._report()
 
     def _report(self) -> None:
-        """Tell the brokers of each server's speed, once a sweep."""
+        """Report the speed of each server to its broker, once per sweep."""
         speeds, self._speeds = self._speeds, {}
         for (pool, server), speed in speeds.items():
             self._dispatcher.observe(pool, speed.observed(server))
@@ -130,8 +140,8 @@
             return
         first_s = 0.0
         if not progress.first_reported:
-            # The first token's time is told apart from the time between
-            # tokens; a resumed stream counts from its own start.
+            # The time to first token is reported apart from the time between
+            # tokens. For a resumed stream it counts from the current attempt.
             progress.first_reported = True
             first_s = max(0.0, attempt.first_token_s - attempt.sent_s)
             progress.last_s = attempt.first_token_s
