--- a/src/siskinpass/process/preemption.py
+++ b/src/siskinpass/process/preemption.py
@@ -22,7 +22,7 @@
 
 
 def unread_by_tier(ticket: Ticket, unread: int) -> tuple[int, ...]:
-    """Return ``ServerLoad.unread`` for one ticket: zeros but for its tier."""
+    """Return ``ServerLoad.unread`` of one ticket, zero above its tier."""
     tier = min(max(0, ticket.tier), MAX_TIERS - 1)
     return (*(0 for _ in range(tier)), unread)
 
--- a/tests/test_breach.py
+++ b/tests/test_breach.py
@@ -1,4 +1,4 @@
-"""Test when a breach is raised, on recorded seconds."""
+"""Test breach detection and the tallies that it works on."""
 
 import pytest
 
@@ -6,8 +6,12 @@
 from siskinpass.process.counts import CountBook, Outcome, Tally, merge
 
 
-def seconds(*spans):
-    """Return tallies: each span is seconds, requests and misses a second."""
+def tallies_of(*spans):
+    """Return one tally per second.
+
+    :param spans: tuples of length in seconds and, for each second, requests,
+        misses and misses caused by slow backend servers.
+    """
     return [
         Tally(total=total, missed=missed, slow_backend=slow)
         for length, total, missed, slow in spans
@@ -15,8 +19,8 @@
     ]
 
 
-def play(trace, objective=0.99):
-    """Return the seconds at which the state changed, with the states."""
+def state_changes(trace, objective=0.99):
+    """Return the changes of state as pairs of second and new state."""
     watch = BreachWatch(BreachPolicy(), objective)
     changes = []
     last = 'holding'
@@ -28,22 +32,30 @@
     return changes
 
 
-QUIET = (30, 20, 0, 0)
+NO_MISSES = (30, 20, 0, 0)
 
 TRACES = [
     ('no traffic', [(60, 0, 0, 0)], []),
     ('all is well', [(90, 20, 0, 0)], []),
-    ('one bad second', [QUIET, (1, 20, 20, 0), QUIET], ['at_risk']),
-    ('two bad seconds', [QUIET, (2, 20, 20, 0), QUIET], ['at_risk']),
+    ('one bad second', [NO_MISSES, (1, 20, 20, 0), NO_MISSES], ['at_risk']),
+    ('two bad seconds', [NO_MISSES, (2, 20, 20, 0), NO_MISSES], ['at_risk']),
     ('few requests', [(20, 0, 0, 0), (4, 1, 1, 0), (9, 0, 0, 0)], []),
     ('within the objective', [(90, 1000, 9, 0)], []),
-    ('outage', [QUIET, (10, 20, 20, 0), QUIET], ['breached', 'holding']),
-    ('slow burn', [QUIET, (30, 100, 5, 0), QUIET], ['breached', 'holding']),
+    (
+        'outage',
+        [NO_MISSES, (10, 20, 20, 0), NO_MISSES],
+        ['breached', 'holding'],
+    ),
+    (
+        'slow burn',
+        [NO_MISSES, (30, 100, 5, 0), NO_MISSES],
+        ['breached', 'holding'],
+    ),
 ]
 
 
 class TestBreachWatch:
-    """Test recorded traces against stated outcomes."""
+    """Test the states that given traces of tallies lead to."""
 
     @pytest.mark.parametrize(
         ('spans', 'wanted'),
@@ -53,23 +65,23 @@
         ],
     )
     def test_trace(self, spans, wanted):
-        """Only what puts the promise at risk is told."""
-        states = [state for _, state in play(seconds(*spans))]
+        """A trace leads to the expected states and to no other breach."""
+        states = [state for _, state in state_changes(tallies_of(*spans))]
         for state in wanted:
             assert state in states
         if 'breached' not in wanted:
             assert 'breached' not in states
 
     def test_raised_within_the_short_window(self):
-        """A real breach is raised within five seconds of its start."""
-        changes = play(seconds(QUIET, (20, 50, 25, 0)))
+        """A lasting breach is raised within five seconds of its start."""
+        changes = state_changes(tallies_of(NO_MISSES, (20, 50, 25, 0)))
         raised = next(at for at, state in changes if state == 'breached')
         assert 30 < raised <= 35
 
     def test_flapping_raises_once(self):
-        """A breach that comes and goes each second is one alarm."""
-        trace = seconds(QUIET, *[(1, 20, 20, 0), (1, 20, 0, 0)] * 15)
-        states = [state for _, state in play(trace)]
+        """Misses in every other second count as one breach."""
+        trace = tallies_of(NO_MISSES, *[(1, 20, 20, 0), (1, 20, 0, 0)] * 15)
+        states = [state for _, state in state_changes(trace)]
         assert states.count('breached') == 1
 
     @pytest.mark.parametrize(
@@ -77,17 +89,17 @@
         [(20, Cause.slow_backends), (0, Cause.demand)],
     )
     def test_cause(self, slow, cause):
-        """The cause tells slow back ends from too much demand."""
+        """Misses without queueing are attributed to slow backend servers."""
         watch = BreachWatch(BreachPolicy(), 0.99)
-        trace = seconds(QUIET, (10, 20, 20, slow))
+        trace = tallies_of(NO_MISSES, (10, 20, 20, slow))
         assert watch.evaluate(trace[-30:], 40).cause is cause
 
 
 class TestCounts:
-    """Test counting and merging."""
+    """Test how outcomes are counted and merged."""
 
     def test_window_and_merge(self):
-        """Outcomes of two instances add up, second by second."""
+        """Tallies of two instances are added per second."""
         one, other = CountBook(), CountBook()
         one.note(Outcome('w/c', met=True, first_ms=30), 5.2)
         other.note(Outcome('w/c', met=False, first_ms=900), 5.9)
@@ -99,7 +111,7 @@
         assert found.first_ms(0.95) == 960
 
     def test_old_seconds_are_dropped(self):
-        """The book does not grow with time."""
+        """The number of stored seconds is bounded."""
         book = CountBook()
         for second in range(500):
             book.note(Outcome('w/c', met=True), float(second))
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""Test the broker's decisions, table by table and as a state machine."""
+"""Test the decisions of a broker, by example and as a state machine."""
 
 from dataclasses import replace
 
@@ -35,7 +35,7 @@
 
 
 def ticket(name, tier=0, at_s=0.0, **more):
-    """Return a ticket with usual settings."""
+    """Return a ticket with default settings, but for those given."""
     usual = Ticket(
         name, 'entry-1', 'lm', f'w/tier{tier}', tier, at_s, 1.0, 30.0,
     )  # fmt: skip
@@ -43,7 +43,10 @@
 
 
 def broker(servers=2, **policy):
-    """Return a broker with some backend servers of two slots each."""
+    """Return a broker of backend servers with two slots each.
+
+    :param policy: fields of the ``BrokerPolicy``.
+    """
     policy.setdefault('limit', FIXED)
     made = Broker(BrokerPolicy(**policy))
     made.apply(ServersListed(views(servers)), 0.0)
@@ -51,7 +54,7 @@
 
 
 def views(count, **more):
-    """Return the views of some backend servers."""
+    """Return views of backend servers ``server-0``, ``server-1`` and so on."""
     return tuple(
         ServerView(f'server-{number}', f'127.0.0.1:{number}', 'lm', **more)
         for number in range(count)
@@ -59,7 +62,7 @@
 
 
 def granted(commands):
-    """Return the tickets that were granted."""
+    """Return the ids of the granted tickets."""
     return [
         command.ticket_id
         for command in commands
@@ -68,18 +71,18 @@
 
 
 class TestOrder:
-    """Test who is served first."""
+    """Test the order in which tickets are granted."""
 
     def test_upper_tier_goes_first(self):
-        """A counter request is served before earlier drafts."""
+        """A tier 0 request is granted before earlier tier 5 requests."""
         made = broker(servers=1, pauses=False, reserve_floor=0)
         for number in range(4):
             made.apply(TicketOpened(ticket(f'd{number}', 5)), 0.0)
         made.apply(TicketOpened(ticket('c', 0, 0.5)), 0.5)
         assert granted(made.apply(GrantReleased('d0'), 1.0)) == ['c']
 
-    def test_earliest_due_goes_first_within_a_tier(self):
-        """Within a tier the slack decides, not the arrival."""
+    def test_earliest_deadline_goes_first_within_a_tier(self):
+        """Within a tier the deadline decides, not the order of arrival."""
         made = broker(servers=1, pauses=False)
         for name in ('a', 'b'):
             made.apply(TicketOpened(ticket(name)), 0.0)
@@ -87,8 +90,8 @@
         made.apply(TicketOpened(ticket('soon', target_s=0.5)), 0.1)
         assert granted(made.apply(GrantReleased('a'), 0.2)) == ['soon']
 
-    def test_late_ticket_does_not_make_the_next_one_late(self):
-        """Under overload those that can still be in time go first."""
+    def test_late_ticket_yields_to_timely_ticket(self):
+        """Under overload, tickets that can still meet their target go first."""
         made = broker(servers=1, pauses=False)
         for name in ('a', 'b'):
             made.apply(TicketOpened(ticket(name)), 0.0)
@@ -97,8 +100,8 @@
         assert granted(made.apply(GrantReleased('a'), 2.0)) == ['timely']
         assert granted(made.apply(GrantReleased('b'), 2.1)) == ['late']
 
-    def test_share_keeps_lower_tier_moving(self):
-        """Drafts still start while counter requests never stop coming."""
+    def test_share_prevents_starvation_of_lower_tier(self):
+        """Tier 5 requests are granted under constant load from tier 0."""
         made = broker(servers=1, pauses=False)
         started = set()
         for number in range(200):
@@ -120,7 +123,7 @@
         assert len(waiting) < 3
 
     def test_lower_stream_is_paused_for_an_upper_request(self):
-        """An upper request makes room; the lower stream is resumed later."""
+        """A stream is paused for an upper request and resumed later."""
         made = broker(servers=1, reserve_floor=0)
         for name in ('d0', 'd1'):
             made.apply(TicketOpened(ticket(name, 5)), 0.0)
@@ -135,19 +138,20 @@
             TicketOpened(ticket(f'{held}x', 5, resumed=True)),
             1.2,
         )
-        # The slot stays free for the swing that was just seen, then opens.
+        # The slot is reserved for tier 0 until its recent peak of demand has
+        # left the sliding window.
         assert not made.apply(GrantReleased('c'), 2.0)
         assert granted(made.apply(ClockTicked(), 30.0)) == [f'{held}x']
 
     def test_upper_stream_is_never_paused_for_a_lower_one(self):
-        """Preemption goes one way only."""
+        """A lower request does not preempt an upper stream."""
         made = broker(servers=1)
         for name in ('c0', 'c1'):
             made.apply(TicketOpened(ticket(name, 0)), 0.0)
         assert not made.apply(TicketOpened(ticket('d', 5)), 1.0)
 
-    def test_one_pause_for_one_waiting_request(self):
-        """Waiting longer does not pause more streams than are needed."""
+    def test_one_stream_is_paused_per_waiting_request(self):
+        """Later ticks do not pause more streams for the same request."""
         made = broker(servers=2)
         for number in range(4):
             made.apply(TicketOpened(ticket(f'd{number}', 5)), 0.0)
@@ -157,11 +161,11 @@
         assert len(commands) == 1
 
 
-class TestTrust:
-    """Test how a server that failed gets requests again."""
+class TestProbing:
+    """Test how a failed server is probed before it gets requests again."""
 
-    def test_tokens_end_the_probing(self):
-        """A probe that streams frees the server before it ends."""
+    def test_tokens_of_the_probe_reopen_the_server(self):
+        """Tokens of the probe request end the probing before it completes."""
         made = broker(servers=1, limit=LimitPolicy(4, 4, 4), pauses=False)
         made.apply(TicketOpened(ticket('a')), 0.0)
         made.apply(GrantReleased('a', failed=True), 0.1)
@@ -171,8 +175,8 @@
         seen = made.apply(TokensObserved('server-0', 0.01), 1.1)
         assert [command.ticket_id for command in seen] == ['c', 'd']
 
-    def test_tokens_from_before_prove_nothing(self):
-        """While a server is shunned, streams of old do not free it."""
+    def test_tokens_while_shunned_do_not_end_probing(self):
+        """Tokens of older streams during the backoff do not end the probing."""
         made = broker(servers=1, limit=LimitPolicy(4, 4, 4), pauses=False)
         made.apply(TicketOpened(ticket('a')), 0.0)
         made.apply(GrantReleased('a', failed=True), 0.1)
@@ -182,10 +186,10 @@
 
 
 class TestAdmission:
-    """Test refusals."""
+    """Test which tickets are refused."""
 
     def test_lowest_tier_is_shed_first(self):
-        """A full queue sheds a draft for a counter request."""
+        """A full queue sheds a tier 5 request for a tier 0 request."""
         made = broker(servers=1, max_queued=2, pauses=False)
         for number in range(4):
             made.apply(TicketOpened(ticket(f'd{number}', 5)), 0.0)
@@ -195,7 +199,7 @@
         assert 'c' in made._waiting
 
     def test_upper_tier_is_not_shed_for_a_lower_one(self):
-        """A draft that finds the queue full of upper requests is refused."""
+        """A tier 5 request is refused if the queue is full of tier 0."""
         made = broker(servers=1, max_queued=2, pauses=False)
         for number in range(4):
             made.apply(TicketOpened(ticket(f'c{number}', 0)), 0.0)
@@ -204,8 +208,8 @@
             ('d', Code.queue_full),
         ]
 
-    def test_wait_beyond_patience_is_refused_at_once(self):
-        """What cannot be served in time is told when to come back."""
+    def test_ticket_is_refused_if_expected_wait_is_too_long(self):
+        """The refusal is immediate and carries a retry delay."""
         made = broker(servers=1, pauses=False)
         now_s = 0.0
         for number in range(12):
@@ -220,8 +224,8 @@
         assert refusal.code is Code.wait_too_long
         assert refusal.retry_after_ms > 200
 
-    def test_expired_ticket_is_refused_on_the_clock(self):
-        """A request given up on is answered at once."""
+    def test_expired_ticket_is_refused_on_tick(self):
+        """A ticket is refused on the first tick after its maximum wait."""
         made = broker(servers=0)
         made.apply(TicketOpened(ticket('c', patience_s=2.0)), 0.0)
         assert not made.apply(ClockTicked(), 1.9)
@@ -229,7 +233,7 @@
         assert (refusal.ticket_id, refusal.code) == ('c', Code.wait_too_long)
 
     def test_resumed_stream_is_never_refused(self):
-        """A stream that has begun is brought to its end."""
+        """A full queue or a long wait does not refuse a resumed stream."""
         made = broker(servers=0, max_queued=0)
         begun = ticket('c', patience_s=0.1, resumed=True)
         assert not made.apply(TicketOpened(begun), 5.0)
@@ -240,13 +244,13 @@
     """Test which backend server a ticket gets."""
 
     def test_leaving_server_gets_nothing(self):
-        """A leaving backend server gets no new work."""
+        """A leaving backend server gets no new tickets."""
         made = broker(servers=1)
         made.apply(ServersListed(views(1, leaving=True)), 0.0)
         assert not made.apply(TicketOpened(ticket('c')), 0.0)
 
     def test_failed_server_is_shunned_then_probed(self):
-        """A server that failed gets one request after a pause."""
+        """A failed server gets one request once its backoff has passed."""
         made = broker(servers=1)
         made.apply(TicketOpened(ticket('a')), 0.0)
         made.apply(GrantReleased('a', failed=True), 0.0)
@@ -254,8 +258,8 @@
         assert not made.apply(TicketOpened(ticket('c')), 0.1)
         assert len(granted(made.apply(ClockTicked(), 1.0))) == 1
 
-    def test_slow_server_gets_less(self):
-        """A server with slow tokens is set aside but for one probe."""
+    def test_slow_server_gets_only_a_probe(self):
+        """A server with slow tokens keeps at most one slot, as a probe."""
         made = broker(servers=3, limit=LimitPolicy(start=4, least=2, most=4))
         for _ in range(8):
             made.apply(TokensObserved('server-0', 0.2), 1.0)
@@ -274,7 +278,7 @@
         assert len(given) >= 8
 
     def test_stream_leaves_a_slow_server(self):
-        """A stream whose token target is lost goes on elsewhere."""
+        """A stream is moved if the slow server misses its token target."""
         made = broker(servers=2, limit=LimitPolicy(start=4, least=2, most=4))
         fast = ticket('fast', token_s=0.06)
         patient = ticket('patient', 5, token_s=0.9)
@@ -287,8 +291,8 @@
         assert commands == [Moved('fast', 'entry-1')]
         assert not made.apply(ClockTicked(), 1.2)
 
-    def test_prefix_goes_where_it_was(self):
-        """A prompt prefix returns to the server that has it cached."""
+    def test_prefix_returns_to_the_server_that_cached_it(self):
+        """A ticket is placed on the server that served its prefix before."""
         made = broker(servers=2)
         first = made.apply(TicketOpened(ticket('a', prefix=7)), 0.0)[0]
         made.apply(GrantReleased('a'), 0.1)
@@ -297,7 +301,7 @@
         assert again.server == first.server
 
     def test_reported_grant_counts(self):
-        """A broker that took over knows the slots that are in use."""
+        """A broker that took over accounts for the slots already in use."""
         made = broker(servers=1)
         for name in ('a', 'b'):
             made.apply(GrantReported(ticket(name), 'server-0'), 0.0)
@@ -305,7 +309,7 @@
         assert granted(made.apply(GrantReleased('a'), 0.2)) == ['c']
 
     def test_lost_entry_frees_its_slots(self):
-        """What a dead entry held is given to others."""
+        """The slots of a lost entry are granted to other entries."""
         made = broker(servers=1)
         for name in ('a', 'b'):
             made.apply(TicketOpened(ticket(name, entry='entry-2')), 0.0)
@@ -314,7 +318,7 @@
 
 
 class BrokerMachine(RuleBasedStateMachine):
-    """Drive a broker with any events and check what must always hold."""
+    """Drive a broker with arbitrary events and check its invariants."""
 
     @initialize(
         servers=st.integers(1, 3),
@@ -322,7 +326,7 @@
         max_queued=st.integers(2, 10),
     )
     def start(self, servers, slots, max_queued):
-        """Start with some backend servers."""
+        """Create a broker with some backend servers."""
         self.limit = LimitPolicy(start=slots, least=1, most=slots)
         self.policy = BrokerPolicy(limit=self.limit, max_queued=max_queued)
         self.broker = Broker(self.policy)
@@ -335,23 +339,23 @@
         self.apply(ServersListed(views(servers)))
 
     def apply(self, event):
-        """Apply an event and follow every command."""
+        """Apply an event and check every resulting command."""
         for command in self.broker.apply(event, self.now_s):
-            self.follow(command)
+            self.check_command(command)
 
-    def follow(self, command):
-        """Check one command against what is known."""
+    def check_command(self, command):
+        """Check one command against the model and update the model."""
         name = command.ticket_id
         if isinstance(command, Granted):
-            assert name in self.waiting, 'granted twice or never asked'
+            assert name in self.waiting, 'granted a ticket that is not waiting'
             assert not self.leaving, 'a leaving server got work'
             self.held[name] = (self.waiting.pop(name), command.server)
         elif isinstance(command, Refused):
-            assert name in self.waiting, 'refused what does not wait'
+            assert name in self.waiting, 'refused a ticket that is not waiting'
             refused = self.waiting.pop(name)
-            assert not refused.resumed, 'refused a stream that has begun'
+            assert not refused.resumed, 'refused a resumed stream'
             if command.code is Code.shed_for_upper_tier:
-                # A stream that has begun is never shed, whatever its tier.
+                # A resumed stream is never shed, whatever its tier.
                 lowest = max(
                     [
                         other.tier
@@ -360,14 +364,20 @@
                     ],
                     default=0,
                 )
-                assert refused.tier >= lowest, 'shed an upper tier first'
+                assert refused.tier >= lowest, (
+                    'shed a ticket while a lower tier waited'
+                )
             assert command.retry_after_ms > 0
         elif isinstance(command, Moved):
-            assert self.held[name][0].pausable, 'moved what may not repeat'
+            assert self.held[name][0].pausable, (
+                'moved a stream that may not be resumed'
+            )
         else:
             paused = self.held[name][0]
             uppers = [other.tier for other in self.waiting.values()]
-            assert min(uppers) < paused.tier, 'paused for a lower tier'
+            assert min(uppers) < paused.tier, (
+                'paused without a waiting upper tier'
+            )
             assert paused.pausable
 
     @rule(
@@ -378,7 +388,7 @@
         patience=st.sampled_from((0.5, 5.0, 60.0)),
     )
     def open(self, tier, share, pausable, resumed, patience):
-        """Open a ticket."""
+        """Open a ticket with arbitrary properties."""
         self.number += 1
         made = ticket(
             f't{self.number}',
@@ -395,7 +405,7 @@
     @precondition(lambda self: self.held)
     @rule(pick=st.integers(0, 1000), failed=st.booleans())
     def release(self, pick, failed):
-        """Release a slot."""
+        """Release any granted slot."""
         name = sorted(self.held)[pick % len(self.held)]
         self.held.pop(name)
         self.apply(GrantReleased(name, failed))
@@ -403,37 +413,37 @@
     @precondition(lambda self: self.waiting)
     @rule(pick=st.integers(0, 1000))
     def withdraw(self, pick):
-        """Withdraw a waiting ticket."""
+        """Withdraw any waiting ticket."""
         name = sorted(self.waiting)[pick % len(self.waiting)]
         self.waiting.pop(name)
         self.apply(TicketWithdrawn(name))
 
     @rule(step=st.floats(0.01, 10))
     def tick(self, step):
-        """Let time pass."""
+        """Advance the clock."""
         self.now_s += step
         self.apply(ClockTicked())
 
     @rule(server=st.integers(0, 2), token_s=st.floats(0.001, 1))
     def observe(self, server, token_s):
-        """Tell of a server's speed."""
+        """Report the token time of a server."""
         self.apply(TokensObserved(f'server-{server}', token_s))
 
     @rule(leaving=st.booleans())
     def relist(self, leaving):
-        """Let all servers leave, or come back."""
+        """Mark all servers as leaving, or as back in service."""
         self.leaving = leaving
         self.apply(ServersListed(views(self.listed, leaving=leaving)))
 
     @invariant()
-    def books_agree(self):
-        """Every ticket waits, holds a slot or was answered, never lost."""
+    def counts_agree(self):
+        """No ticket is lost: each waits, holds a slot or was answered."""
         assert self.broker.waiting == len(self.waiting)
         assert self.broker.running == len(self.held)
 
     @invariant()
-    def limits_hold(self):
-        """No backend server holds more than its limit."""
+    def limits_are_respected(self):
+        """No backend server has more grants than its limit."""
         counts = {}
         for _, server in self.held.values():
             counts[server] = counts.get(server, 0) + 1
@@ -441,7 +451,7 @@
 
     @invariant()
     def queue_is_bounded(self):
-        """Only streams that have begun may wait beyond the bound."""
+        """Only resumed streams may wait beyond ``max_queued``."""
         fresh = [one for one in self.waiting.values() if not one.resumed]
         assert len(fresh) <= self.policy.max_queued
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Test the orders to engines and their fencing."""
+"""Test the model orders to engines and their fencing."""
 
 import signal
 
@@ -9,7 +9,7 @@
 
 
 def reports(**models):
-    """Return reports of engines by name."""
+    """Return engine reports; ``None`` stands for an engine without answer."""
     return [
         EngineReport(name, None if held is None else frozenset(held))
         for name, held in models.items()
@@ -17,41 +17,44 @@
 
 
 class TestOrderPlan:
-    """Test which engine is ordered what, and when."""
+    """Test which orders are sent, and when."""
 
-    def test_one_loads_at_a_time(self):
-        """The weight store is not asked by all engines at once."""
+    def test_one_engine_loads_at_a_time(self):
+        """The next engine is ordered to load once the first has finished.
+
+        Otherwise all engines would read from the weight store at once.
+        """
         plan = OrderPlan()
-        astray = reports(a=['m1'], b=['m1'], c=WANTED)
-        first = plan.next_orders(WANTED, astray, 7, 0.0)
+        mismatched = reports(a=['m1'], b=['m1'], c=WANTED)
+        first = plan.next_orders(WANTED, mismatched, 7, 0.0)
         assert [(one.engine, one.fence) for one in first] == [('a', 7)]
-        assert not plan.next_orders(WANTED, astray, 7, 1.0)
+        assert not plan.next_orders(WANTED, mismatched, 7, 1.0)
         done = reports(a=WANTED, b=['m1'], c=WANTED)
         assert plan.next_orders(WANTED, done, 7, 2.0)[0].engine == 'b'
 
-    def test_order_is_repeated_unchanged(self):
-        """An order without effect is given again and states its target."""
+    def test_order_without_effect_is_repeated_unchanged(self):
+        """The repeated order states the same full set of models."""
         plan = OrderPlan()
-        astray = reports(a=[])
-        one = plan.next_orders(WANTED, astray, 7, 0.0)
-        again = plan.next_orders(WANTED, astray, 7, REPEAT_S)
+        mismatched = reports(a=[])
+        one = plan.next_orders(WANTED, mismatched, 7, 0.0)
+        again = plan.next_orders(WANTED, mismatched, 7, REPEAT_S)
         assert one == again
 
-    def test_silent_engine_is_left_alone(self):
-        """Nothing is ordered from what is not known."""
+    def test_unreachable_engine_gets_no_order(self):
+        """No order is made from an unknown state."""
         plan = OrderPlan()
         assert not plan.next_orders(WANTED, reports(a=None), 7, 0.0)
 
 
 class TestEngines:
-    """Test orders with real processes."""
+    """Test orders with real instance and engine processes."""
 
-    def test_engines_come_to_hold_the_tree_s_models(self, fresh):
-        """A model added to the tree is loaded, and then served."""
-        told = fresh.operate('GET', '/tree')
-        tree = told['tree']
+    def test_engines_load_models_added_to_the_tree(self, fresh):
+        """A model added to the tree is loaded by all engines and served."""
+        reply = fresh.operate('GET', '/tree')
+        tree = reply['tree']
         tree['pools']['lm']['models'] = ['fieltro-chat', 'fieltro-new']
-        fresh.propose(tree, told['version'])
+        fresh.propose(tree, reply['version'])
         wait_until(
             lambda: all(
                 'fieltro-new' in fresh.read(name, '/load')['models']
@@ -63,8 +66,11 @@
         where.model = 'fieltro-new'
         assert ask([counter()], where)[0].whole
 
-    def test_paused_holder_orders_nothing_late(self, fresh):
-        """A holder that wakes after its lease gives no order of its own."""
+    def test_paused_lease_holder_sends_no_stale_orders(self, fresh):
+        """A lease holder that was paused past its lease sends no order.
+
+        All orders must carry the fencing number of the new holder.
+        """
         holder = wait_until(
             lambda: [
                 entry
@@ -80,11 +86,11 @@
             lambda: fresh.status(others[0]).get('holder') in names,
             'another holder',
         )
-        told = fresh.operate('GET', '/tree', b'', others[0].operators)
-        tree = told['tree']
+        reply = fresh.operate('GET', '/tree', b'', others[0].operators)
+        tree = reply['tree']
         tree['pools']['lm']['models'] = ['fieltro-chat', 'fieltro-new']
         holder.process.send_signal(signal.SIGCONT)
-        fresh.propose(tree, told['version'])
+        fresh.propose(tree, reply['version'])
         wait_until(
             lambda: all(
                 'fieltro-new' in fresh.read(name, '/load')['models']
