--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -47,8 +47,8 @@
     """Configuration of a broker.
 
     :param limit: bounds of the slots of each backend server.
-    :param max_queued: maximum number of waiting tickets in the group; streams
-        that resume do not count.
+    :param max_queued: maximum number of waiting tickets in the group; resumed
+        streams do not count.
     :param reserve_floor: minimum number of slots that each tier leaves free
         for the tiers above it.
     :param by_priority: whether tiers, latency targets and shares order the
--- a/src/siskinpass/process/broker_client.py
+++ b/src/siskinpass/process/broker_client.py
@@ -71,8 +71,8 @@
         """Start without a port.
 
         :param on_port_needed: called when an event is due and no port is
-            attached; it should call :meth:`attach`, which sends the event as
-            part of the current state.
+            attached; it should call :meth:`attach`, which sends the current
+            state in place of the event.
         """
         self.group = group
         self._on_port_needed = on_port_needed
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -29,7 +29,7 @@
 
 
 class ActiveGrants:
-    """Granted slots of a group, accounted to their servers in its table."""
+    """Granted slots of a group; keeps the load of its servers up to date."""
 
     def __init__(self, table: ServerTable) -> None:
         self._table = table
@@ -56,10 +56,10 @@
         *,
         is_protected: bool,
     ) -> int:
-        """Account a new grant to its server.
+        """Record a new grant and add its load to the server.
 
-        :param is_protected: whether the guaranteed share of the tier paid for
-            the slot, so that the stream is never paused.
+        :param is_protected: whether the slot was granted from the guaranteed
+            share of the tier; such a stream is never paused.
         :returns: prompt tokens that the server has to prefill because they are
             not in its KV cache.
         """
@@ -75,7 +75,7 @@
         return unread
 
     def add_reported(self, event: GrantReported) -> None:
-        """Account a grant that an entry got from a previous broker.
+        """Record a grant that an entry got from a previous broker.
 
         Its prompt counts as prefilled.
         """
