--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -1,8 +1,9 @@
 """Grant the slots of one group of backend servers in priority order.
 
-Pure logic: events and a clock go in, commands come out. One live instance
-holds the broker of a group; its state is soft and is told again by the
-entry instances when the broker moves.
+Pure logic: events and clock readings go in, commands come out. Where instances
+share a broker, one live instance runs it. Its state is kept in memory only;
+when the broker moves to another instance, the entry instances send their
+tickets and grants to the new one.
 """
 
 from collections.abc import Iterable
@@ -11,7 +12,7 @@
 
 from siskinpass.codes import Code
 from siskinpass.process.demand import Demand
-from siskinpass.process.grants import GrantBook
+from siskinpass.process.grants import ActiveGrants
 from siskinpass.process.limits import LimitPolicy
 from siskinpass.process.placement import Chooser, ServerTable
 from siskinpass.process.preemption import choose_moves, choose_pauses
@@ -35,33 +36,38 @@
 )
 
 MS_PER_S = 1000
-LEAST_RETRY_MS = 200
-# A ticket whose server has a backlog does not hold up these behind it.
-LOOKED_AT = 64
+MIN_RETRY_MS = 200
+# Tickets tried per tier in one pass, so that a ticket that no server can take
+# now does not block the tickets behind it.
+MAX_CANDIDATES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class BrokerPolicy:
-    """Set how a broker decides.
+    """Configuration of a broker.
 
     :param limit: bounds of the slots of each backend server.
-    :param queue_most: tickets that may wait in the whole group.
-    :param reserve_floor: slots kept free for the most urgent tier.
-    :param in_order: whether tiers and targets order the queue; without it
-        tickets are served as they come.
-    :param pauses: whether lower tiers are paused for upper ones.
-    :param at_random: whether placement takes any server with a free slot.
-    :param chooser: chooses among the servers with a free slot.
-    :param moves: whether streams leave servers that became slow.
-    :param memory_tokens: tokens that the memory of each engine holds.
-    :param probe_after: failures in a row after which a server gets one
-        request at a time.
+    :param max_queued: maximum number of waiting tickets in the group; resumed
+        streams do not count.
+    :param reserve_floor: minimum number of slots that each tier leaves free
+        for the tiers above it.
+    :param by_priority: whether tiers, latency targets and shares order the
+        queue; otherwise tickets are served first come, first served.
+    :param pauses: whether streams of lower tiers are paused when requests of
+        upper tiers wait.
+    :param at_random: whether placement picks a random server with a free slot.
+    :param chooser: chooses among the servers with a free slot, in place of
+        the built-in placement.
+    :param moves: whether streams are moved off servers that became slow.
+    :param memory_tokens: capacity of each engine's KV cache in tokens.
+    :param probe_after: consecutive failures after which a server gets only
+        one request at a time.
     """
 
     limit: LimitPolicy = field(default_factory=LimitPolicy)
-    queue_most: int = 2000
+    max_queued: int = 2000
     reserve_floor: int = 1
-    in_order: bool = True
+    by_priority: bool = True
     pauses: bool = True
     at_random: bool = False
     chooser: Chooser | None = None
@@ -74,7 +80,6 @@
     """Order the tickets of one group and grant its slots."""
 
     def __init__(self, policy: BrokerPolicy) -> None:
-        """Start without servers, tickets or grants."""
         self._policy = policy
         self._table = ServerTable(
             policy.limit,
@@ -84,7 +89,7 @@
             probe_after=policy.probe_after,
         )
         self._waiting = WaitingTickets()
-        self._grants = GrantBook(self._table)
+        self._grants = ActiveGrants(self._table)
         self._demand = Demand()
         self._rate = GrantRate()
         self._commands: list[Command] = []
@@ -92,24 +97,24 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many tickets wait."""
+        """Return the number of waiting tickets."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Return how many slots are granted."""
+        """Return the number of granted slots."""
         return len(self._grants)
 
     @property
     def table(self) -> ServerTable:
-        """Return the backend servers of the group."""
+        """Return the state of the group's backend servers."""
         return self._table
 
     def apply(self, event: Event, now_s: float) -> list[Command]:
-        """Take in one event and return the commands that follow from it.
+        """Apply one event and return the resulting commands.
 
-        :param event: what happened.
-        :param now_s: the clock in seconds; it never goes back.
+        :param now_s: monotonic clock in seconds; a reading earlier than the
+            previous one is ignored.
         """
         return self.apply_all((event,), now_s)
 
@@ -118,64 +123,67 @@
         events: Iterable[Event],
         now_s: float,
     ) -> list[Command]:
-        """Take in events that came together, and decide once."""
+        """Apply a batch of events, then make decisions once for all of them.
+
+        :param now_s: as in :meth:`apply`.
+        """
         self._now_s = max(self._now_s, now_s)
         for event in events:
-            self._take(event)
+            self._handle_event(event)
         self._dispatch()
         commands, self._commands = self._commands, []
         return commands
 
     @singledispatchmethod
-    def _take(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         raise TypeError(event)
 
-    @_take.register
+    @_handle_event.register
     def _open(self, event: TicketOpened) -> None:
         ticket = event.ticket
         known = ticket.ticket_id in self._waiting
         if known or ticket.ticket_id in self._grants:
             return
-        if not self._policy.in_order:
-            ticket = _without_order(ticket)
+        if not self._policy.by_priority:
+            ticket = _without_priority(ticket)
         if ticket.resumed or self._admit(ticket):
             self._waiting.add(ticket)
             self._add_demand(ticket, 1)
 
-    @_take.register
+    @_handle_event.register
     def _withdraw(self, event: TicketWithdrawn) -> None:
         ticket = self._waiting.pop(event.ticket_id)
         if ticket is not None:
             self._add_demand(ticket, -1)
 
-    @_take.register
+    @_handle_event.register
     def _release(self, event: GrantReleased) -> None:
         self._withdraw(TicketWithdrawn(event.ticket_id))
-        ticket = self._grants.end(event, self._now_s)
+        ticket = self._grants.remove(event, self._now_s)
         if ticket is not None:
             self._add_demand(ticket, -1)
 
-    @_take.register
-    def _report(self, event: GrantReported) -> None:
+    @_handle_event.register
+    def _add_reported(self, event: GrantReported) -> None:
         ticket = event.ticket
         if ticket.ticket_id not in self._grants:
             self._withdraw(TicketWithdrawn(ticket.ticket_id))
-            self._grants.report(event)
+            self._grants.add_reported(event)
             self._add_demand(ticket, 1)
 
-    @_take.register
-    def _take_load(self, event: LoadEvent) -> None:
-        self._grants.take(event, self._now_s)
+    @_handle_event.register
+    def _handle_load(self, event: LoadEvent) -> None:
+        self._grants.apply(event, self._now_s)
 
-    @_take.register
-    def _lose(self, event: EntryLost) -> None:
+    @_handle_event.register
+    def _drop_entry(self, event: EntryLost) -> None:
         for ticket in self._waiting:
             if ticket.entry == event.entry:
                 self._withdraw(TicketWithdrawn(ticket.ticket_id))
         for ticket_id in self._grants.held_by(event.entry):
             self._release(GrantReleased(ticket_id))
 
-    @_take.register
+    @_handle_event.register
     def _tick(self, event: ClockTicked) -> None:
         if self._policy.moves:
             self._table.mark_slow(self._now_s)
@@ -190,7 +198,7 @@
         if wait_s > ticket.patience_s:
             self._reply_refused(ticket, Code.wait_too_long, wait_s)
             return False
-        if self._waiting.fresh < self._policy.queue_most:
+        if self._waiting.fresh < self._policy.max_queued:
             return True
         lowest = self._waiting.lowest()
         if lowest is None or lowest.tier <= ticket.tier:
@@ -214,7 +222,7 @@
         wait_s: float,
     ) -> None:
         excess_s = max(0, wait_s - ticket.patience_s / 2)
-        retry_ms = LEAST_RETRY_MS + int(excess_s * MS_PER_S)
+        retry_ms = MIN_RETRY_MS + int(excess_s * MS_PER_S)
         self._commands.append(
             Refused(ticket.ticket_id, ticket.entry, code, retry_ms),
         )
@@ -235,17 +243,17 @@
         return self._grant(ticket, owed=True)
 
     def _dispatch_tier(self, tier: int) -> None:
-        budget = self._free_for(tier)
-        for ticket in self._waiting.first_of(tier, LOOKED_AT):
+        budget = self._free_slots_for(tier)
+        for ticket in self._waiting.first_of(tier, MAX_CANDIDATES):
             if budget <= 0:
                 break
             budget -= self._grant(ticket, owed=False)
         if self._policy.pauses and tier in self._waiting.tiers:
-            self._make_room(tier)
+            self._pause_for(tier)
 
-    def _free_for(self, tier: int) -> int:
+    def _free_slots_for(self, tier: int) -> int:
         free = self._table.free_slots(self._now_s)
-        return free - self._demand.reserved_from(
+        return free - self._demand.reserved_above(
             tier,
             self._table.slots,
             self._policy.reserve_floor,
@@ -275,26 +283,26 @@
         )
         return True
 
-    def _make_room(self, tier: int) -> None:
-        """Pause one lower stream for each ticket that waits in the tier."""
+    def _pause_for(self, tier: int) -> None:
+        """Pause streams below a tier, one per ticket waiting in or above it."""
         waiting = self._waiting.count_above(tier)
-        for held in choose_pauses(self._grants.running, tier, waiting):
-            held.ending = True
+        for grant in choose_pauses(self._grants.running, tier, waiting):
+            grant.ending = True
             self._commands.append(
-                Paused(held.ticket.ticket_id, held.ticket.entry),
+                Paused(grant.ticket.ticket_id, grant.ticket.entry),
             )
 
     def _move_from_slow(self) -> None:
         free = self._table.free_slots(self._now_s)
-        for held in choose_moves(self._grants.running, self._table, free):
-            held.ending = True
+        for grant in choose_moves(self._grants.running, self._table, free):
+            grant.ending = True
             self._commands.append(
-                Moved(held.ticket.ticket_id, held.ticket.entry),
+                Moved(grant.ticket.ticket_id, grant.ticket.entry),
             )
 
     def _add_demand(self, ticket: Ticket, step: int) -> None:
         self._demand.add(ticket.tier, step, self._now_s)
 
 
-def _without_order(ticket: Ticket) -> Ticket:
+def _without_priority(ticket: Ticket) -> Ticket:
     return replace(ticket, tier=0, target_s=0.0, share=0.0)
--- a/src/siskinpass/process/preemption.py
+++ b/src/siskinpass/process/preemption.py
@@ -1,4 +1,4 @@
-"""Choose the streams that make room or go on elsewhere.
+"""Choose which streams to pause for upper tiers or move off slow servers.
 
 Pure logic over the granted slots of one group.
 """
@@ -9,30 +9,33 @@
 from siskinpass.process.placement import Server, ServerTable
 from siskinpass.request.ticket import ServerLoad, Ticket
 
-MOST_PAUSES_AT_ONCE = 8
+MAX_CONCURRENT_PAUSES = 8
+MAX_TIERS = 10  # lower tiers share the last element of ``ServerLoad.unread``
 
 
-MOST_TIERS = 10  # tiers beyond it share the last place of a load
+def ticket_load(ticket: Ticket, unread: int) -> ServerLoad:
+    """Return the load that one ticket puts on its server.
 
-
-def load_of(ticket: Ticket, unread: int) -> ServerLoad:
-    """Return the load of a ticket with a number of unread tokens."""
-    return ServerLoad(1, int(ticket.is_tight), unread_of(ticket, unread))
+    :param unread: tokens of its prompt that are not prefilled yet.
+    """
+    return ServerLoad(1, int(ticket.is_tight), unread_by_tier(ticket, unread))
 
 
-def unread_of(ticket: Ticket, unread: int) -> tuple[int, ...]:
-    """Return unread tokens at the place of the ticket's tier."""
-    tier = min(max(0, ticket.tier), MOST_TIERS - 1)
+def unread_by_tier(ticket: Ticket, unread: int) -> tuple[int, ...]:
+    """Return ``ServerLoad.unread`` of one ticket, zero above its tier."""
+    tier = min(max(0, ticket.tier), MAX_TIERS - 1)
     return (*(0 for _ in range(tier)), unread)
 
 
 @dataclass(slots=True)
-class Running:
-    """Hold one granted slot.
-
-    :param protected: granted by the share of its tier, so never paused.
-    :param ending: told to pause or to move; its slot is not free yet.
-    :param unread: prompt tokens that its server has yet to read.
+class ActiveGrant:
+    """A granted slot.
+
+    :param server: name of the backend server.
+    :param protected: granted from the guaranteed share of its tier, so never
+        paused.
+    :param ending: asked to pause or move, but its slot is not released yet.
+    :param unread: prompt tokens that its server has not prefilled yet.
     """
 
     ticket: Ticket
@@ -43,63 +46,73 @@
 
     @property
     def load(self) -> ServerLoad:
-        """Return what it adds to its server."""
-        return load_of(self.ticket, self.unread)
+        """Return its current contribution to the load of its server."""
+        return ticket_load(self.ticket, self.unread)
 
 
 def choose_pauses(
-    running: Iterable[Running],
+    running: Iterable[ActiveGrant],
     tier: int,
     waiting: int,
-) -> list[Running]:
-    """Return the lower streams to pause, one for each waiting ticket.
+) -> list[ActiveGrant]:
+    """Return the streams of lower tiers to pause for waiting tickets.
 
-    The lowest tier goes first and in it the stream that came last.
+    One stream is paused per waiting ticket, less the grants that are ending
+    already. The lowest tier is paused first, and within a tier the stream
+    whose request arrived last.
 
+    :param tier: only streams of lower tiers than this one are paused.
     :param waiting: tickets that wait in this tier and those above.
     """
     slots = tuple(running)
-    ending = sum(held.ending for held in slots)
-    wanted = min(waiting, MOST_PAUSES_AT_ONCE) - ending
+    ending = sum(grant.ending for grant in slots)
+    wanted = min(waiting, MAX_CONCURRENT_PAUSES) - ending
     if wanted <= 0:
         return []
-    lower = [
-        held for held in slots if held.ticket.tier > tier and _may_pause(held)
+    lower_grants = [
+        grant
+        for grant in slots
+        if grant.ticket.tier > tier and _may_pause(grant)
     ]
-    lower.sort(key=_pause_rank, reverse=True)
-    return lower[:wanted]
+    lower_grants.sort(key=_pause_rank, reverse=True)
+    return lower_grants[:wanted]
 
 
 def choose_moves(
-    running: Iterable[Running],
+    running: Iterable[ActiveGrant],
     table: ServerTable,
     free: int,
-) -> list[Running]:
-    """Return the streams whose token target a slow server cannot keep.
+) -> list[ActiveGrant]:
+    """Return the streams to move because a slow server misses their target.
+
+    The target is that of the mean time between tokens. Streams of the most
+    urgent tiers are moved first.
 
-    :param free: slots free elsewhere, which bound the moves.
+    :param free: free slots of the group, the maximum number of moves.
     """
-    late = [
-        held for held in running if _is_too_slow(held, table.find(held.server))
+    too_slow = [
+        grant
+        for grant in running
+        if _is_too_slow(grant, table.find(grant.server))
     ]
-    late.sort(key=_tier)
-    return late[: max(0, free)]
+    too_slow.sort(key=_tier)
+    return too_slow[: max(0, free)]
 
 
-def _may_pause(held: Running) -> bool:
-    return held.ticket.pausable and not (held.protected or held.ending)
+def _may_pause(grant: ActiveGrant) -> bool:
+    return grant.ticket.pausable and not (grant.protected or grant.ending)
 
 
-def _pause_rank(held: Running) -> tuple[int, float]:
-    return (held.ticket.tier, held.ticket.opened_s)
+def _pause_rank(grant: ActiveGrant) -> tuple[int, float]:
+    return (grant.ticket.tier, grant.ticket.opened_s)
 
 
-def _tier(held: Running) -> int:
-    return held.ticket.tier
+def _tier(grant: ActiveGrant) -> int:
+    return grant.ticket.tier
 
 
-def _is_too_slow(held: Running, server: Server | None) -> bool:
+def _is_too_slow(grant: ActiveGrant, server: Server | None) -> bool:
     if server is None or not server.slow:
         return False
-    late = 0 < held.ticket.token_s < server.limit.token_s
-    return late and held.ticket.pausable and not held.ending
+    too_slow = 0 < grant.ticket.token_s < server.limit.token_s
+    return too_slow and grant.ticket.pausable and not grant.ending
