--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -111,7 +111,7 @@
 
 def _broker(waiting: int, servers: int, tiers: int) -> list[float]:
     """Return the processor time of one ticket in a broker, in us."""
-    limit = LimitPolicy(start=1 if servers > GROUP else 8, least=1, most=8)
+    limit = LimitPolicy(start=1 if servers > GROUP else 8, minimum=1, maximum=8)
     broker = Broker(BrokerPolicy(limit, queue_most=10**6))
     views = tuple(
         ServerView(f's{number}', f'127.0.0.1:{number}', 'lm')
--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -19,13 +19,13 @@
 from functools import partial
 
 from siskinpass.process.placement import Server, ServerTable
-from siskinpass.process.reading import READ_TOKENS_S
+from siskinpass.process.prefill import PREFILL_TOKENS_PER_S
 from siskinpass.process.rendezvous import holder, rank
 from siskinpass.request.ticket import Ticket
 
-LANE_SERVERS_LEAST = 3
+MIN_PARTITION_SERVERS = 3
 # A plain server that fails all requests counts as this many times full.
-PLAIN_TROUBLE = 3.0
+PLAIN_FAILURE_WEIGHT = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,22 +69,22 @@
         beyond it covers the way to the server and back.
     """
 
-    running_tokens: float = 400.0
-    behind_weight: float = 0.5
-    reread_factor: float = 10.0
-    home_tokens: float = 8000.0
-    tight_home_factor: float = 0.6
-    lane_penalty: float = 500_000.0
-    lane_streams: int = 20
-    lane_least: float = 0.25
-    lane_most: float = 0.5
-    lane_hold_s: float = 15.0
-    trouble_tokens: float = 100_000.0
-    long_tokens: int = 4096
-    ahead_s: float = 0.25
-    tight_wait_s: float = 0.1
-    unread_most: int = 50_000
-    plain_overfull: float = 1.5
+    running_request_tokens: float = 400.0
+    lower_tier_weight: float = 0.5
+    duplicate_prefill_factor: float = 10.0
+    non_home_tokens: float = 8000.0
+    tight_non_home_factor: float = 0.6
+    partition_penalty: float = 500_000.0
+    streams_per_partition_server: int = 20
+    min_partition_fraction: float = 0.25
+    max_partition_fraction: float = 0.5
+    partition_decay_s: float = 15.0
+    failure_tokens: float = 100_000.0
+    long_prompt_tokens: int = 4096
+    backlog_s: float = 0.25
+    max_tight_wait_s: float = 0.1
+    max_unread_tokens: int = 50_000
+    plain_requests_per_slot: float = 1.5
 
 
 class AffinityChooser:
@@ -93,20 +93,20 @@
     def __init__(self, policy: AffinityPolicy | None = None) -> None:
         """Keep the weights."""
         self._policy = policy or AffinityPolicy()
-        self._lane = _LaneSize(self._policy)
+        self._partition = _PartitionSize(self._policy)
 
     def __call__(self, table: ServerTable, ticket: Ticket) -> Server | None:
         """Return the cheapest server, none where the ticket should wait."""
         free = table.open_servers()
-        fresh = [one for one in free if one.view.name != ticket.avoid]
-        servers = fresh or free
+        preferred = [one for one in free if one.view.name != ticket.avoid]
+        servers = preferred or free
         if not servers:
             return None
         if not ticket.pieces:
             best = min(servers, key=partial(_plain_cost, now_s=table.now_s))
             return best if self._has_slot(best) else None
-        lane = self._lane.names(free, table.now_s)
-        cost = _PromptCost(self._policy, table, ticket, lane, servers)
+        partition = self._partition.names(free, table.now_s)
+        cost = _PromptCost(self._policy, table, ticket, partition, servers)
         best = min(servers, key=cost.of)
         return best if self._has_room(best, ticket, table.now_s) else None
 
@@ -114,7 +114,8 @@
         slots = server.view.slots
         return (
             not slots
-            or server.load.running < slots * self._policy.plain_overfull
+            or server.load.running
+            < slots * self._policy.plain_requests_per_slot
         )
 
     def _has_room(
@@ -128,26 +129,26 @@
         What waits here instead of at the engine keeps its order by target.
         """
         policy = self._policy
-        if server.load.unread_to(ticket.tier) > policy.unread_most:
+        if server.load.unread_to(ticket.tier) > policy.max_unread_tokens:
             return False
         if ticket.is_tight:
             # One prompt after the other stretches the streams' pauses least.
             return (
-                server.reading.paced_s(now_s) == 0
-                or now_s - ticket.opened_s > policy.tight_wait_s
+                server.prefill.paced_backlog_s(now_s) == 0
+                or now_s - ticket.opened_s > policy.max_tight_wait_s
             )
-        return server.reading.ahead_s(ticket.tier, now_s) <= policy.ahead_s
+        return server.prefill.backlog_s(ticket.tier, now_s) <= policy.backlog_s
 
 
-class _LaneSize:
+class _PartitionSize:
     """Size the lane by the streams with a tight pause that run."""
 
     def __init__(self, policy: AffinityPolicy) -> None:
         """Start with the least lane."""
         self._policy = policy
         self._streams = 0.0
-        self._seen_s = 0.0
-        self._open: frozenset[str] = frozenset()
+        self._updated_s = 0.0
+        self._ranked_names: frozenset[str] = frozenset()
         self._ranked: tuple[str, ...] = ()
 
     def names(
@@ -159,26 +160,30 @@
 
         :param servers: those that may get a request now.
         """
-        if len(servers) < LANE_SERVERS_LEAST:
+        if len(servers) < MIN_PARTITION_SERVERS:
             return frozenset()
         tight = sum(server.load.tight for server in servers)
-        passed_s = now_s - self._seen_s
-        self._seen_s = now_s
-        held = self._streams * math.exp(-passed_s / self._policy.lane_hold_s)
+        passed_s = now_s - self._updated_s
+        self._updated_s = now_s
+        held = self._streams * math.exp(
+            -passed_s / self._policy.partition_decay_s
+        )
         self._streams = max(float(tight), held)
-        wanted = max(
-            round(self._policy.lane_least * len(servers)),
-            math.ceil(self._streams / self._policy.lane_streams),
+        wanted_size = max(
+            round(self._policy.min_partition_fraction * len(servers)),
+            math.ceil(
+                self._streams / self._policy.streams_per_partition_server
+            ),
         )
-        most = int(len(servers) * self._policy.lane_most)
+        max_size = int(len(servers) * self._policy.max_partition_fraction)
         ordered = self._rank(server.view.name for server in servers)
-        return frozenset(ordered[: max(1, min(wanted, most))])
+        return frozenset(ordered[: max(1, min(wanted_size, max_size))])
 
     def _rank(self, names: Iterable[str]) -> tuple[str, ...]:
         """Return the order in which servers join the lane."""
         given = frozenset(names)
-        if given != self._open:
-            self._open = given
+        if given != self._ranked_names:
+            self._ranked_names = given
             self._ranked = tuple(rank('', given))
         return self._ranked
 
@@ -191,16 +196,16 @@
         policy: AffinityPolicy,
         table: ServerTable,
         ticket: Ticket,
-        lane: frozenset[str],
+        partition: frozenset[str],
         servers: Sequence[Server],
     ) -> None:
         """Look up what each server has cached."""
         self._policy = policy
         self._ticket = ticket
-        self._lane = lane
+        self._partition = partition
         self._now_s = table.now_s
         self._cached = {
-            server.view.name: table.cache.cached(
+            server.view.name: table.cache.cached_tokens(
                 server.view.name,
                 ticket.pieces,
             )
@@ -213,48 +218,63 @@
         """Return the cost of a server, its name to break ties."""
         policy = self._policy
         name = server.view.name
-        cached = self._cached[name]
+        cached_tokens = self._cached[name]
         load = server.load
         ahead = load.unread_to(self._ticket.tier)
         behind = sum(load.unread) - ahead
-        cost = ahead + behind * policy.behind_weight
-        cost += self._ticket.tokens_in - cached
-        cost += (self._most_cached - cached) * (policy.reread_factor - 1)
-        cost += load.running * policy.running_tokens
-        cost += server.trouble_at(self._now_s) * policy.trouble_tokens
-        cost += 0 if name == self._home else self._away_cost()
-        return cost + self._lane_cost(server), name
+        cost = ahead + behind * policy.lower_tier_weight
+        cost += self._ticket.tokens_in - cached_tokens
+        cost += (self._most_cached - cached_tokens) * (
+            policy.duplicate_prefill_factor - 1
+        )
+        cost += load.running * policy.running_request_tokens
+        cost += server.failure_rate_at(self._now_s) * policy.failure_tokens
+        cost += 0 if name == self._home else self._non_home_cost()
+        return cost + self._partition_cost(server), name
 
     def _find_home(self, servers: Sequence[Server]) -> str:
         """Return the home of the prompt among the servers of its lane."""
         names = {server.view.name for server in servers}
-        if self._lane:
-            same = self._lane if self._ticket.is_tight else names - self._lane
-            names = (names & same) or names
+        if self._partition:
+            allowed = (
+                self._partition
+                if self._ticket.is_tight
+                else names - self._partition
+            )
+            names = (names & allowed) or names
         shared = self._ticket.pieces[:-1] or self._ticket.pieces
         return holder(str(shared[-1].key), names)
 
-    def _away_cost(self) -> float:
+    def _non_home_cost(self) -> float:
         policy = self._policy
         if not self._ticket.is_tight:
-            return policy.home_tokens
+            return policy.non_home_tokens
         shared = sum(piece.tokens for piece in self._ticket.pieces[:-1])
-        return min(policy.home_tokens, shared * policy.tight_home_factor)
+        return min(
+            policy.non_home_tokens, shared * policy.tight_non_home_factor
+        )
 
-    def _lane_cost(self, server: Server) -> float:
-        in_lane = server.view.name in self._lane
-        if not self._lane:
+    def _partition_cost(self, server: Server) -> float:
+        in_partition = server.view.name in self._partition
+        if not self._partition:
             return 0.0
         if self._ticket.is_tight:
             # The pace differs from the load only for servers of the lane.
-            pace = server.reading.paced_s(self._now_s) * READ_TOKENS_S
-            return pace if in_lane else pace + self._policy.lane_penalty
-        is_long = self._ticket.tokens_in > self._policy.long_tokens
-        return self._policy.lane_penalty if in_lane and is_long else 0.0
+            pace = (
+                server.prefill.paced_backlog_s(self._now_s)
+                * PREFILL_TOKENS_PER_S
+            )
+            return (
+                pace if in_partition else pace + self._policy.partition_penalty
+            )
+        is_long = self._ticket.tokens_in > self._policy.long_prompt_tokens
+        return (
+            self._policy.partition_penalty if in_partition and is_long else 0.0
+        )
 
 
 def _plain_cost(server: Server, now_s: float) -> tuple[float, str]:
     slots = max(1, server.view.slots)
     cost = (server.load.running + 1) / slots
-    cost += server.trouble_at(now_s) * PLAIN_TROUBLE
+    cost += server.failure_rate_at(now_s) * PLAIN_FAILURE_WEIGHT
     return cost, server.view.name
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -220,7 +220,7 @@
         )
 
     def _dispatch(self) -> None:
-        self._waiting.move_late(self._now_s + self._table.first_s)
+        self._waiting.move_late(self._now_s + self._table.first_token_s)
         owed = True
         while owed:
             owed = self._grant_owed()
@@ -263,7 +263,7 @@
             self._now_s,
             is_protected=owed,
         )
-        self._rate.note(ticket.tier, self._now_s)
+        self._rate.record(ticket.tier, self._now_s)
         self._commands.append(
             Granted(
                 ticket.ticket_id,
--- a/src/siskinpass/process/cache_map.py
+++ b/src/siskinpass/process/cache_map.py
@@ -11,7 +11,7 @@
 from siskinpass.request.ticket import PromptPiece
 
 # Running requests take their share of an engine's memory; the rest caches.
-CACHED_PART = 0.7
+CACHE_FRACTION = 0.7
 
 
 class ServerCache:
@@ -28,10 +28,10 @@
 
     def resize(self, memory_tokens: int) -> None:
         """Take in another size of the engine's memory."""
-        self._most = memory_tokens * CACHED_PART
-        self._drop_oldest()
+        self._capacity_tokens = memory_tokens * CACHE_FRACTION
+        self._evict_oldest()
 
-    def cached(self, pieces: Sequence[PromptPiece]) -> int:
+    def cached_tokens(self, pieces: Sequence[PromptPiece]) -> int:
         """Return how many tokens at the start of a prompt are cached."""
         total = 0
         for piece in pieces:
@@ -40,7 +40,7 @@
             total += piece.tokens
         return total
 
-    def note(self, pieces: Iterable[PromptPiece]) -> None:
+    def record(self, pieces: Iterable[PromptPiece]) -> None:
         """Note a prompt that was placed here."""
         for piece in pieces:
             if piece.key in self._parts:
@@ -48,10 +48,10 @@
             else:
                 self._parts[piece.key] = piece.tokens
                 self._tokens += piece.tokens
-        self._drop_oldest()
+        self._evict_oldest()
 
-    def _drop_oldest(self) -> None:
-        while self._tokens > self._most and self._parts:
+    def _evict_oldest(self) -> None:
+        while self._tokens > self._capacity_tokens and self._parts:
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
@@ -67,18 +67,18 @@
         self._memory_tokens = memory_tokens
         self._caches: dict[str, ServerCache] = {}
 
-    def cached(self, server: str, pieces: Sequence[PromptPiece]) -> int:
+    def cached_tokens(self, server: str, pieces: Sequence[PromptPiece]) -> int:
         """Return how many tokens of a prompt a server need not read."""
         cache = self._caches.get(server)
-        return cache.cached(pieces) if cache else 0
+        return cache.cached_tokens(pieces) if cache else 0
 
-    def note(self, server: str, pieces: Iterable[PromptPiece]) -> None:
+    def record(self, server: str, pieces: Iterable[PromptPiece]) -> None:
         """Note a prompt that was placed on a server."""
         cache = self._caches.get(server)
         if cache is None:
             cache = ServerCache(self._memory_tokens)
             self._caches[server] = cache
-        cache.note(pieces)
+        cache.record(pieces)
 
     def resize(self, memory_tokens: int) -> None:
         """Take in another size of the engines' memory."""
@@ -87,6 +87,6 @@
             for cache in self._caches.values():
                 cache.resize(memory_tokens)
 
-    def forget(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Forget a server that ended or started anew."""
         self._caches.pop(server, None)
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -219,7 +219,7 @@
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
-            self._state.pass_time()
+            self._state.expire_missing()
             self._callers = {one for one in self._callers if one.is_open}
 
     def _policy_of(self, pool: str) -> BrokerPolicy:
--- a/src/siskinpass/process/fleet/state.py
+++ b/src/siskinpass/process/fleet/state.py
@@ -8,8 +8,8 @@
 from siskinpass.platform.objects import StoredObject
 from siskinpass.platform.workers import decode_worker
 from siskinpass.process.fleet.watch import Changed, Listed, Lost, News
+from siskinpass.process.known_servers import KnownServers
 from siskinpass.process.logs import PartLog
-from siskinpass.process.server_book import ServerBook
 from siskinpass.request.ticket import ServerView
 from siskinpass.version.routes import CallerLimits, RouteTable
 
@@ -30,7 +30,7 @@
         self._loop = asyncio.get_running_loop()
         self._log = PartLog('state')
         self._table: RouteTable | None = None
-        self._servers = ServerBook()
+        self._servers = KnownServers()
         self._has_servers = False
         self.ready = asyncio.Event()
 
@@ -59,10 +59,10 @@
         """Take in what the store told of the backend servers."""
         now_s = self._loop.time()
         if isinstance(news, Lost):
-            self._servers.lose(now_s)
+            self._servers.mark_unreachable(now_s)
             return
         if isinstance(news, Listed):
-            self._servers.list_all(self._views(news.stored), now_s)
+            self._servers.apply_listing(self._views(news.stored), now_s)
         elif isinstance(news, Changed):
             for stored in news.stored:
                 self._change(stored, now_s)
@@ -70,9 +70,9 @@
         self._on_servers(self._servers.views)
         self._check_ready()
 
-    def pass_time(self) -> None:
+    def expire_missing(self) -> None:
         """Drop the servers that stayed missing after an outage."""
-        if self._servers.pass_time(self._loop.time()):
+        if self._servers.expire_missing(self._loop.time()):
             self._on_servers(self._servers.views)
 
     def _adopt(self, stored: StoredObject) -> None:
@@ -100,7 +100,7 @@
     def _change(self, stored: StoredObject, now_s: float) -> None:
         views = () if stored.is_deleted else tuple(self._views((stored,)))
         for view in views:
-            self._servers.change(view, now_s)
+            self._servers.put(view, now_s)
             self._log.note(
                 'A server changed.',
                 server=view.name,
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -59,13 +59,13 @@
         """Count a new grant and return the tokens that its server reads."""
         name = server.view.name
         cache = self._table.cache
-        unread = ticket.tokens_in - cache.cached(name, ticket.pieces)
-        cache.note(name, ticket.pieces)
+        unread = ticket.tokens_in - cache.cached_tokens(name, ticket.pieces)
+        cache.record(name, ticket.pieces)
         held = Running(ticket, name, protected=is_protected, unread=unread)
         self._running[ticket.ticket_id] = held
         server.add(held.load)
-        server.expect_reading(unread, ticket, now_s)
-        self._table.remember(ticket.prefix, name)
+        server.schedule_prefill(unread, ticket, now_s)
+        self._table.record_prefix(ticket.prefix, name)
         return unread
 
     def report(self, event: GrantReported) -> None:
@@ -84,9 +84,9 @@
         server = self._table.find(held.server)
         if server is not None:
             server.add(-held.load)
-            in_trouble = event.failed or event.erred
-            server.note_outcome(now_s, in_trouble=in_trouble)
-            server.note_end(now_s, failed=event.failed)
+            is_failure = event.failed or event.erred
+            server.update_failure_rate(now_s, is_failure=is_failure)
+            server.update_ejection(now_s, failed=event.failed)
         return held.ticket
 
     def take(self, event: LoadEvent, now_s: float) -> None:
@@ -106,25 +106,25 @@
         if server is not None:
             read = unread_of(held.ticket, held.unread)
             server.add(-ServerLoad(unread=read))
-            server.note_progress(now_s)
+            server.clear_failures(now_s)
         held.unread = 0
 
     @_take.register
     def _place(self, event: PromptPlaced, now_s: float) -> None:
-        self._table.cache.note(event.server, event.pieces)
+        self._table.cache.record(event.server, event.pieces)
         server = self._table.find(event.server)
         if server is not None:
-            server.expect_reading(event.unread, event, now_s)
+            server.schedule_prefill(event.unread, event, now_s)
 
     @_take.register
     def _take_peers(self, event: PeerLoadsTold, now_s: float) -> None:
-        self._table.take_peer_loads(event.loads)
+        self._table.set_peer_loads(event.loads)
 
     @_take.register
     def _observe(self, event: TokensObserved, now_s: float) -> None:
         server = self._table.find(event.server)
         if server is not None:
-            server.note_progress(now_s)
+            server.clear_failures(now_s)
             server.limit.observe(
                 event.token_s,
                 event.first_s,
--- a/src/siskinpass/process/server_book.py
+++ b/src/siskinpass/process/known_servers.py
@@ -11,12 +11,12 @@
 
 # The platform states that lapsed entries are back about two seconds after the
 # store's return.
-RETURN_S = 2.2
+RECOVERY_GRACE_S = 2.2
 # Entries lapse after three heartbeats; a shorter outage removes none.
-OUTAGE_LEAST_S = 1.5
+MIN_OUTAGE_S = 1.5
 
 
-class ServerBook:
+class KnownServers:
     """Hold the entries of the registry."""
 
     def __init__(self) -> None:
@@ -24,64 +24,70 @@
         self._views: dict[str, ServerView] = {}
         self._missing: set[str] = set()
         self._heard_s = float('-inf')
-        self._lost_s: float | None = None
-        self._trusts_from_s = float('-inf')
+        self._outage_start_s: float | None = None
+        self._grace_until_s = float('-inf')
 
     @property
     def views(self) -> tuple[ServerView, ...]:
         """Return the servers to use or to leave, by name."""
         return tuple(self._views[name] for name in sorted(self._views))
 
-    def lose(self, now_s: float) -> None:
+    def mark_unreachable(self, now_s: float) -> None:
         """Note that the registry does not answer."""
-        if self._lost_s is None:
-            self._lost_s = now_s
+        if self._outage_start_s is None:
+            self._outage_start_s = now_s
 
-    def list_all(self, views: Iterable[ServerView], now_s: float) -> None:
+    def apply_listing(self, views: Iterable[ServerView], now_s: float) -> None:
         """Take in all entries."""
-        self._hear(now_s)
+        self._mark_reachable(now_s)
         listed = {view.name: view for view in views}
         missing = self._views.keys() - listed.keys()
         self._views.update(listed)
         self._missing -= listed.keys()
-        self._miss(missing, now_s)
+        self._mark_missing(missing, now_s)
 
-    def change(self, view: ServerView, now_s: float) -> None:
+    def put(self, view: ServerView, now_s: float) -> None:
         """Take in one entry that is new or changed."""
-        self._hear(now_s)
+        self._mark_reachable(now_s)
         self._views[view.name] = view
         self._missing.discard(view.name)
 
     def remove(self, name: str, now_s: float) -> None:
         """Take in that an entry is gone."""
-        self._hear(now_s)
+        self._mark_reachable(now_s)
         if name in self._views:
-            self._miss({name}, now_s)
+            self._mark_missing({name}, now_s)
 
-    def pass_time(self, now_s: float) -> bool:
+    def expire_missing(self, now_s: float) -> bool:
         """Drop servers that were missing for too long.
 
         :returns: whether any was dropped.
         """
-        if not self._missing or self._lost_s is not None:
+        if not self._missing or self._outage_start_s is not None:
             return False
-        if now_s < self._trusts_from_s:
+        if now_s < self._grace_until_s:
             return False
-        self._drop(self._missing)
+        self._remove_all(self._missing)
         return True
 
-    def _hear(self, now_s: float) -> None:
-        lost_s, self._lost_s = self._lost_s, None
-        if lost_s is not None and now_s - lost_s >= OUTAGE_LEAST_S:
-            self._trusts_from_s = now_s + RETURN_S
-
-    def _miss(self, names: set[str], now_s: float) -> None:
-        if now_s < self._trusts_from_s:
+    def _mark_reachable(self, now_s: float) -> None:
+        outage_start_s, self._outage_start_s = (
+            self._outage_start_s,
+            None,
+        )
+        if (
+            outage_start_s is not None
+            and now_s - outage_start_s >= MIN_OUTAGE_S
+        ):
+            self._grace_until_s = now_s + RECOVERY_GRACE_S
+
+    def _mark_missing(self, names: set[str], now_s: float) -> None:
+        if now_s < self._grace_until_s:
             self._missing |= names
         else:
-            self._drop(names | self._missing)
+            self._remove_all(names | self._missing)
 
-    def _drop(self, names: Iterable[str]) -> None:
+    def _remove_all(self, names: Iterable[str]) -> None:
         for name in tuple(names):
             self._views.pop(name, None)
         self._missing.clear()
--- a/src/siskinpass/process/limits.py
+++ b/src/siskinpass/process/limits.py
@@ -17,20 +17,20 @@
     """
 
     start: int = 8
-    least: int = 2
-    most: int = 64
+    minimum: int = 2
+    maximum: int = 64
     token_s: float = 0.04
 
 
 SMOOTHING = 0.35
-DECREASE = 0.85
-DECREASE_EVERY_S = 0.5
+DECREASE_FACTOR = 0.85
+DECREASE_INTERVAL_S = 0.5
 TOLERANCE = 1.15
-FAR_BELOW = 0.7
-FAR_GROWTH = 0.25  # slots for each token seen
-NEAR_GROWTH = 0.15
+FAST_GROWTH_BELOW = 0.7
+FAST_GROWTH = 0.25  # slots for each token seen
+SLOW_GROWTH = 0.15
 BUSY_FRACTION = 0.75
-SLOW_DECAY_S = 3.0
+STALE_AFTER_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,8 +54,8 @@
         self._policy = policy
         self._limit = float(policy.start)
         self._token_s = 0.0
-        self._first_s = 0.0
-        self._seen_s = float('-inf')
+        self._first_token_s = 0.0
+        self._observed_s = float('-inf')
         self._decreased_s = float('-inf')
 
     @property
@@ -69,26 +69,28 @@
         return self._token_s
 
     @property
-    def first_s(self) -> float:
+    def first_token_s(self) -> float:
         """Return the smoothed time to the first token."""
-        return self._first_s
+        return self._first_token_s
 
-    def observe(self, token_s: float, first_s: float, sample: Sample) -> None:
+    def observe(
+        self, token_s: float, first_token_s: float, sample: Sample
+    ) -> None:
         """Take in one observation.
 
         :param token_s: mean time between tokens, 0 where none was seen.
         :param first_s: time to the first token, 0 where none was seen.
         """
-        self._seen_s = sample.now_s
-        if first_s > 0:
-            self._first_s = _smooth(self._first_s, first_s)
+        self._observed_s = sample.now_s
+        if first_token_s > 0:
+            self._first_token_s = _smooth(self._first_token_s, first_token_s)
         if token_s > 0:
             self._token_s = _smooth(self._token_s, token_s)
             self._adapt(sample)
 
     def is_stale(self, now_s: float) -> bool:
         """Tell whether the speed is too old to be believed."""
-        return now_s - self._seen_s > SLOW_DECAY_S
+        return now_s - self._observed_s > STALE_AFTER_S
 
     def _adapt(self, sample: Sample) -> None:
         policy = self._policy
@@ -96,10 +98,10 @@
             self._shrink(sample)
         elif self._may_grow(sample):
             # Far below the defended time the limit follows a burst at once.
-            far = self._token_s < policy.token_s * FAR_BELOW
-            growth = FAR_GROWTH if far else NEAR_GROWTH / self._limit
+            is_far_below = self._token_s < policy.token_s * FAST_GROWTH_BELOW
+            growth = FAST_GROWTH if is_far_below else SLOW_GROWTH / self._limit
             grown = self._limit + sample.tokens * growth
-            self._limit = min(float(policy.most), grown)
+            self._limit = min(float(policy.maximum), grown)
 
     def _may_grow(self, sample: Sample) -> bool:
         """Tell whether the limit is in use, or below where it began.
@@ -111,11 +113,11 @@
         return is_busy or self._limit < self._policy.start
 
     def _shrink(self, sample: Sample) -> None:
-        if sample.now_s - self._decreased_s < DECREASE_EVERY_S:
+        if sample.now_s - self._decreased_s < DECREASE_INTERVAL_S:
             return
         self._decreased_s = sample.now_s
-        shrunk = min(self._limit, sample.running) * DECREASE
-        self._limit = max(float(self._policy.least), shrunk)
+        shrunk = min(self._limit, sample.running) * DECREASE_FACTOR
+        self._limit = max(float(self._policy.minimum), shrunk)
 
 
 def _smooth(old: float, new: float) -> float:
--- a/src/siskinpass/process/placement.py
+++ b/src/siskinpass/process/placement.py
@@ -13,7 +13,7 @@
 
 from siskinpass.process.cache_map import CacheMap
 from siskinpass.process.limits import LimitPolicy, SlotLimit
-from siskinpass.process.reading import ReadingPlan
+from siskinpass.process.prefill import PrefillSchedule
 from siskinpass.request.ticket import (
     PromptPlaced,
     ServerLoad,
@@ -24,16 +24,16 @@
 SLOW_RATIO = 2.0
 SLOW_FRACTION = 0.34
 SLOW_SLOTS = 1
-SHUN_S = 0.25
-FAILURES_COUNTED = 5
-PREFIXES_KEPT = 4096
+EJECTION_S = 0.25
+MAX_COUNTED_FAILURES = 5
+MAX_PREFIXES = 4096
 AFFINITY_SLOTS = 2
-AVOIDED_PENALTY = 4.0
+PENALTY_FACTOR = 4.0
 NO_LOAD = ServerLoad()
-TROUBLE_SMOOTHING = 0.1  # about the last ten outcomes
+FAILURE_RATE_SMOOTHING = 0.1  # about the last ten outcomes
 # A server is tried again after about as long as the operator takes a calm
 # machine to be in touch.
-TROUBLE_HOLD_S = 3.0
+FAILURE_RATE_DECAY_S = 3.0
 
 
 @dataclass(slots=True)
@@ -48,13 +48,13 @@
     running: int = 0
     slow: bool = False
     failures: int = 0
-    shunned_until_s: float = 0.0
+    ejected_until_s: float = 0.0
     own: ServerLoad = NO_LOAD
     peers: ServerLoad = NO_LOAD
     load: ServerLoad = NO_LOAD
-    reading: ReadingPlan = field(default_factory=ReadingPlan)
-    trouble: float = 0.0
-    outcome_s: float = 0.0
+    prefill: PrefillSchedule = field(default_factory=PrefillSchedule)
+    failure_rate: float = 0.0
+    last_outcome_s: float = 0.0
     probe_after: int = 1
 
     def add(self, step: ServerLoad) -> None:
@@ -63,55 +63,57 @@
         self.own += step
         self.load = self.own + self.peers
 
-    def take_peers(self, peers: ServerLoad) -> None:
+    def set_peer_load(self, peers: ServerLoad) -> None:
         """Take what the other instances run on it."""
         self.peers = peers
         self.load = self.own + peers
 
-    def expect_reading(
+    def schedule_prefill(
         self,
         unread: int,
         prompt: Ticket | PromptPlaced,
         now_s: float,
     ) -> None:
         """Count the reading of a placed prompt."""
-        self.reading.add(unread, prompt.tier, now_s)
+        self.prefill.add(unread, prompt.tier, now_s)
         if prompt.is_tight:
-            self.reading.add_paced(unread, now_s)
+            self.prefill.add_paced(unread, now_s)
 
-    def note_outcome(self, now_s: float, *, in_trouble: bool) -> None:
+    def update_failure_rate(self, now_s: float, *, is_failure: bool) -> None:
         """Follow the part of requests that failed here."""
-        known = self.trouble_at(now_s)
-        self.trouble = known + TROUBLE_SMOOTHING * (in_trouble - known)
-        self.outcome_s = now_s
+        known = self.failure_rate_at(now_s)
+        self.failure_rate = known + FAILURE_RATE_SMOOTHING * (
+            is_failure - known
+        )
+        self.last_outcome_s = now_s
 
-    def trouble_at(self, now_s: float) -> float:
+    def failure_rate_at(self, now_s: float) -> float:
         """Return the part of requests that failed, less as time passes.
 
         A server that gets nothing would otherwise stay in trouble.
         """
-        passed_s = max(0.0, now_s - self.outcome_s)
-        return self.trouble * math.exp(-passed_s / TROUBLE_HOLD_S)
+        passed_s = max(0.0, now_s - self.last_outcome_s)
+        return self.failure_rate * math.exp(-passed_s / FAILURE_RATE_DECAY_S)
 
-    def note_end(self, now_s: float, *, failed: bool) -> None:
+    def update_ejection(self, now_s: float, *, failed: bool) -> None:
         """Shun a server that failed, longer with each failure in a row."""
         if not failed:
             self.failures = 0
             return
-        self.failures = min(self.failures + 1, FAILURES_COUNTED)
+        self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
         if self.failures < self.probe_after:
             return
-        shun_s = SHUN_S * 2 ** (self.failures - 1)
-        self.shunned_until_s = now_s + shun_s
+        ejection_s = EJECTION_S * 2 ** (self.failures - 1)
+        self.ejected_until_s = now_s + ejection_s
 
-    def note_progress(self, now_s: float) -> None:
+    def clear_failures(self, now_s: float) -> None:
         """Trust a server again once it brings tokens after its failures."""
-        if now_s >= self.shunned_until_s:
+        if now_s >= self.ejected_until_s:
             self.failures = 0
 
     def free_slots(self, now_s: float) -> int:
         """Return how many more requests it may get."""
-        if self.view.leaving or now_s < self.shunned_until_s:
+        if self.view.leaving or now_s < self.ejected_until_s:
             return 0
         if self.failures >= self.probe_after:
             # One request at a time probes a server that has failed.
@@ -171,14 +173,14 @@
         )
 
     @property
-    def first_s(self) -> float:
+    def first_token_s(self) -> float:
         """Return the mean time to a first token, 0 where none was seen."""
-        seen = [
-            server.limit.first_s
+        times = [
+            server.limit.first_token_s
             for server in self._servers.values()
-            if server.limit.first_s > 0 and not server.slow
+            if server.limit.first_token_s > 0 and not server.slow
         ]
-        return sum(seen) / len(seen) if seen else 0.0
+        return sum(times) / len(times) if times else 0.0
 
     def free_slots(self, now_s: float) -> int:
         """Return the slots that can be granted now."""
@@ -197,7 +199,7 @@
         for name, view in sorted(listed.items()):
             known = self._servers.get(name)
             if known is None or known.view.incarnation != view.incarnation:
-                self.cache.forget(name)
+                self.cache.remove_server(name)
             if known is None:
                 self._servers[name] = Server(
                     view,
@@ -206,13 +208,13 @@
                 )
             else:
                 known.view = view
-        for gone in self._servers.keys() - listed.keys():
-            server = self._servers[gone]
+        for removed in self._servers.keys() - listed.keys():
+            server = self._servers[removed]
             if server.running:
                 _mark_leaving(server)
             else:
-                self._servers.pop(gone)
-                self.cache.forget(gone)
+                self._servers.pop(removed)
+                self.cache.remove_server(removed)
 
     def open_servers(self) -> list[Server]:
         """Return the servers that may get a request now."""
@@ -222,10 +224,10 @@
             if server.free_slots(self.now_s) > 0
         ]
 
-    def take_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
+    def set_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
         """Take what the other instances run on each server."""
         for name, server in self._servers.items():
-            server.take_peers(loads.get(name, NO_LOAD))
+            server.set_peer_load(loads.get(name, NO_LOAD))
 
     def mark_slow(self, now_s: float) -> None:
         """Set aside the servers that are much slower than the median."""
@@ -236,15 +238,15 @@
         }
         if len(speeds) < 2:
             return
-        bound = SLOW_RATIO * statistics.median_low(speeds.values())
-        suspects = sorted(
-            (name for name in speeds if speeds[name] > bound),
+        threshold = SLOW_RATIO * statistics.median_low(speeds.values())
+        candidates = sorted(
+            (name for name in speeds if speeds[name] > threshold),
             key=speeds.__getitem__,
             reverse=True,
         )
-        aside = suspects[: max(1, int(len(speeds) * SLOW_FRACTION))]
+        outliers = candidates[: max(1, int(len(speeds) * SLOW_FRACTION))]
         for name, server in self._servers.items():
-            server.slow = name in aside and not server.limit.is_stale(now_s)
+            server.slow = name in outliers and not server.limit.is_stale(now_s)
 
     def choose(self, ticket: Ticket, now_s: float) -> Server | None:
         """Return the best server with a free slot, or none."""
@@ -258,20 +260,20 @@
             if server.free_slots(now_s) <= 0:
                 continue
             if self._at_random:
-                cost = _chance(ticket, server)
+                cost = _random_cost(ticket, server)
             else:
                 cost = _cost(server, ticket, holder)
             if cost < best_cost:
                 best, best_cost = server, cost
         return best
 
-    def remember(self, prefix: int, name: str) -> None:
+    def record_prefix(self, prefix: int, name: str) -> None:
         """Note which server has a prompt prefix in its cache."""
         if not prefix:
             return
         self._prefixes[prefix] = name
         self._prefixes.move_to_end(prefix)
-        if len(self._prefixes) > PREFIXES_KEPT:
+        if len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
 
@@ -279,7 +281,7 @@
     server.view = replace(server.view, leaving=True)
 
 
-def _chance(ticket: Ticket, server: Server) -> float:
+def _random_cost(ticket: Ticket, server: Server) -> float:
     text = f'{ticket.ticket_id}/{server.view.name}'
     digest = hashlib.blake2b(text.encode(), digest_size=4).digest()
     return float(int.from_bytes(digest))
@@ -293,7 +295,7 @@
     if server.limit.token_s > 0:
         cost *= server.limit.token_s
     if server.view.name == ticket.avoid:
-        cost *= AVOIDED_PENALTY
+        cost *= PENALTY_FACTOR
     if server.slow:
-        cost *= AVOIDED_PENALTY
+        cost *= PENALTY_FACTOR
     return cost
--- a/src/siskinpass/process/policies.py
+++ b/src/siskinpass/process/policies.py
@@ -19,7 +19,7 @@
     if decisions in {LEAST_OUTSTANDING, FIFO_RANDOM}:
         # These baselines leave all waiting to the backend servers.
         return BrokerPolicy(
-            LimitPolicy(start=UNLIMITED, least=UNLIMITED, most=UNLIMITED),
+            LimitPolicy(start=UNLIMITED, minimum=UNLIMITED, maximum=UNLIMITED),
             in_order=False,
             pauses=False,
             at_random=decisions == FIFO_RANDOM,
@@ -27,8 +27,8 @@
     return BrokerPolicy(
         LimitPolicy(
             start=max(1, pool.slots // sharers),
-            least=1 if sharers > 1 else 2,
-            most=max(1, pool.slots_most // sharers),
+            minimum=1 if sharers > 1 else 2,
+            maximum=max(1, pool.slots_most // sharers),
             token_s=pool.token_ms / MS_PER_S,
         ),
     )
--- a/src/siskinpass/process/rendezvous.py
+++ b/src/siskinpass/process/rendezvous.py
@@ -10,7 +10,7 @@
 
 # Pairs of a key and a name: each decision about a prompt compares all servers
 # for one of a few hundred keys.
-WEIGHTS_KEPT = 16_384
+WEIGHT_CACHE_SIZE = 16_384
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
@@ -26,6 +26,6 @@
     return max(names, key=lambda name: _weight(key, name))
 
 
-@lru_cache(maxsize=WEIGHTS_KEPT)
+@lru_cache(maxsize=WEIGHT_CACHE_SIZE)
 def _weight(key: str, name: str) -> bytes:
     return hashlib.blake2b(f'{key}/{name}'.encode(), digest_size=8).digest()
--- a/src/siskinpass/process/throughput.py
+++ b/src/siskinpass/process/throughput.py
@@ -7,9 +7,9 @@
 from collections import Counter, deque
 
 WINDOW_S = 5.0
-LEAST_GRANTS = 8
+MIN_GRANTS = 8
 # Grants that began a moment ago tell the speed of a start, not a rate.
-FULL_S = 0.5 * WINDOW_S
+MIN_WINDOW_S = 0.5 * WINDOW_S
 
 
 class GrantRate:
@@ -20,11 +20,11 @@
         self._grants: deque[tuple[float, int]] = deque()
         self._counts: Counter[int] = Counter()
 
-    def note(self, tier: int, now_s: float) -> None:
+    def record(self, tier: int, now_s: float) -> None:
         """Count one grant."""
         self._grants.append((now_s, tier))
         self._counts[tier] += 1
-        self._forget(now_s)
+        self._expire(now_s)
 
     def wait_s(self, tier: int, ahead: int, now_s: float) -> float:
         """Return the expected wait behind a number of tickets.
@@ -33,16 +33,16 @@
         :param ahead: tickets that are served before it.
         :returns: seconds, 0 while too little is known.
         """
-        self._forget(now_s)
+        self._expire(now_s)
         granted = sum(
             count for other, count in self._counts.items() if other <= tier
         )
-        if granted < LEAST_GRANTS or ahead == 0:
+        if granted < MIN_GRANTS or ahead == 0:
             return 0.0
-        seen_s = now_s - self._grants[0][0]
-        return ahead * seen_s / granted if seen_s >= FULL_S else 0.0
+        window_s = now_s - self._grants[0][0]
+        return ahead * window_s / granted if window_s >= MIN_WINDOW_S else 0.0
 
-    def _forget(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         while self._grants and self._grants[0][0] < now_s - WINDOW_S:
             _, tier = self._grants.popleft()
             self._counts[tier] -= 1
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -8,7 +8,7 @@
 from siskinpass.process.broker import Broker
 from siskinpass.process.cache_map import CacheMap
 from siskinpass.process.fleet.policy import fleet_policy
-from siskinpass.process.reading import READ_TOKENS_S
+from siskinpass.process.prefill import PREFILL_TOKENS_PER_S
 from siskinpass.request.ticket import (
     ClockTicked,
     Granted,
@@ -28,7 +28,7 @@
 SERVERS = tuple(
     ServerView(f'e-{n}', '1.1.1.1:1', 'lm', slots=64) for n in range(5)
 )
-MORE = tuple(
+EXTRA_SERVERS = tuple(
     ServerView(f'm-{n}', '1.1.1.1:1', 'lm', slots=64) for n in range(3)
 )
 PLAIN = tuple(
@@ -87,7 +87,7 @@
 class TestPlacement:
     """Test single choices."""
 
-    def test_shared_part_is_read_once(self):
+    def test_shared_part_is_prefilled_once(self):
         """Prompts with the same part go where it is cached."""
         made = broker()
         placed = {}
@@ -103,16 +103,16 @@
         assert [len(servers) for servers in by_part.values()] == [1, 1, 1]
         assert len(set.union(*by_part.values())) == 3
 
-    def test_parts_that_others_placed_are_known(self):
+    def test_parts_placed_by_peers_are_known(self):
         """What another instance placed draws the next prompt there."""
         made = broker()
         ticket = prompt(1, 5)
-        told = PromptPlaced('e-3', ticket.pieces[:1], 13_300)
-        made.apply(told, 0.0)
+        event = PromptPlaced('e-3', ticket.pieces[:1], 13_300)
+        made.apply(event, 0.0)
         # Its reading is over by then.
         assert grants(made.apply(TicketOpened(ticket), 2.0)) == {'t-1': 'e-3'}
 
-    def test_loads_of_others_count(self):
+    def test_peer_loads_count(self):
         """A server that others load is passed over."""
         made = broker()
         busy = ServerLoad(40, 0, (0, 0, 40_000))
@@ -121,7 +121,7 @@
         placed = grants(made.apply(TicketOpened(prompt(1, 1)), 0.0))
         assert placed == {'t-1': 'e-2'}
 
-    def test_failing_plain_server_gets_little(self):
+    def test_failing_plain_server_gets_few_requests(self):
         """A server whose answers are errors is left for the others."""
         made = broker(PLAIN)
         placed = []
@@ -143,7 +143,7 @@
             made.apply(GrantReleased(ticket.ticket_id, erred=erred), number)
         assert placed.count('s-0') < 10
 
-    def test_server_that_failed_is_tried_again(self):
+    def test_failure_rate_decays_without_requests(self):
         """A server that got nothing for a while is one of the others."""
         made = broker()
         for number in range(10):
@@ -151,16 +151,16 @@
         for number in range(10):
             ended = GrantReleased(f't-{number}', erred=number % 2 == 0)
             made.apply(ended, 0.1)
-        troubled = [one for one in made.table.servers if one.trouble > 0]
-        assert troubled
-        for server in troubled:
-            assert server.trouble_at(20.0) < 0.01 * server.trouble
+        failing = [one for one in made.table.servers if one.failure_rate > 0]
+        assert failing
+        for server in failing:
+            assert server.failure_rate_at(20.0) < 0.01 * server.failure_rate
 
     def test_restarted_server_has_nothing_cached(self):
         """A new incarnation of a server knows no parts."""
         made = broker()
         made.apply(PromptPlaced('e-3', (PromptPiece(5, 13_300),), 0), 0.0)
-        again = tuple(
+        restarted = tuple(
             ServerView(
                 view.name,
                 view.address,
@@ -170,14 +170,16 @@
             )
             for view in SERVERS
         )
-        made.apply(ServersListed(again), 1.0)
-        assert not made.table.cache.cached('e-3', [PromptPiece(5, 13_300)])
+        made.apply(ServersListed(restarted), 1.0)
+        assert not made.table.cache.cached_tokens(
+            'e-3', [PromptPiece(5, 13_300)]
+        )
 
 
 class TestLoads:
     """Play loads and check what callers get."""
 
-    def test_long_prompts_keep_off_the_lane(self):
+    def test_long_prompts_avoid_the_partition(self):
         """In a mixed load no long prompt is read beside tight streams."""
         made = broker()
         long_at, tight_at = set(), set()
@@ -197,7 +199,7 @@
         assert len(long_at) >= 3
         assert not long_at & tight_at
 
-    def test_prompts_of_tight_streams_are_spread(self):
+    def test_prompts_of_tight_streams_are_paced(self):
         """A burst of tight streams is not read in one step."""
         made = broker()
         burst = [TicketOpened(tight(number)) for number in range(6)]
@@ -207,7 +209,7 @@
             waited += len(grants(made.apply(ClockTicked(), tick * 0.02)))
         assert waited == 5
 
-    def test_urgent_prompts_pass_a_backlog(self):
+    def test_upper_tier_bypasses_lower_tier_backlog(self):
         """In a burst of drafts an upper tier does not wait for them."""
         made = broker()
         drafts = [TicketOpened(prompt(n, n)) for n in range(60)]
@@ -217,7 +219,7 @@
         placed = grants(made.apply(TicketOpened(upper), 0.01))
         assert list(placed) == ['t-99']
 
-    def test_lane_grows_to_engines_that_read_long_prompts(self):
+    def test_partition_grows_to_engines_with_long_prompts(self):
         """An engine that has read long prompts takes its share of a burst."""
         made = broker()
         for number in range(40):
@@ -239,7 +241,7 @@
 
     def test_short_prompts_leave_a_busy_home(self):
         """A burst over one shared part is spread over the lane."""
-        made = broker((*SERVERS, *MORE))
+        made = broker((*SERVERS, *EXTRA_SERVERS))
         placed = []
         for number in range(8):
             ticket = tight(7 * number, opened_s=0.0)
@@ -249,7 +251,7 @@
         assert len(placed) == 2
         assert len(set(placed)) == 2
 
-    def test_upper_tier_goes_where_less_is_read(self):
+    def test_lower_tier_load_counts_for_upper_tier(self):
         """Drafts that an engine reads count for a review as well."""
         made = broker()
         drafts = ServerLoad(1, 0, (0, 0, 20_000))
@@ -261,7 +263,7 @@
         ]
         assert 'e-3' in placed[0].values()
 
-    def test_upper_tier_waits_for_its_own_backlog(self):
+    def test_upper_tier_backlog_is_bounded(self):
         """Reviews in a burst are placed no further ahead than drafts."""
         made = broker()
         reviews = [
@@ -270,29 +272,29 @@
         assert len(grants(made.apply_all(reviews, 0.0))) < 60
         policy = AffinityPolicy()
         for server in made.table.servers:
-            ahead_s = server.reading.ahead_s(1, 0.0)
-            assert ahead_s <= policy.ahead_s + 17_000 / READ_TOKENS_S
+            backlog_s = server.prefill.backlog_s(1, 0.0)
+            assert backlog_s <= policy.backlog_s + 17_000 / PREFILL_TOKENS_PER_S
 
-    def test_tight_streams_leave_engines_that_do_not_read(self):
+    def test_stalled_engines_get_no_tight_streams(self):
         """What an engine has unread of their tier is bounded as well."""
         made = broker(SERVERS[:2])
         policy = AffinityPolicy()
-        stuck = ServerLoad(40, 40, (policy.unread_most + 1,))
+        stuck = ServerLoad(40, 40, (policy.max_unread_tokens + 1,))
         loads = {view.name: stuck for view in SERVERS[:2]}
         made.apply(PeerLoadsTold(loads), 0.0)
         ticket = tight(1, opened_s=0.0)
         assert not grants(made.apply(TicketOpened(ticket), 0.0))
         assert not grants(made.apply(ClockTicked(), 1.0))
 
-    def test_backlog_at_an_engine_is_bounded(self):
+    def test_backlog_of_an_engine_is_bounded(self):
         """What waits here keeps its order; an engine gets little ahead."""
         made = broker()
         drafts = [TicketOpened(prompt(n, n)) for n in range(200)]
         made.apply_all(drafts, 0.0)
         policy = AffinityPolicy()
         for server in made.table.servers:
-            ahead_s = server.reading.ahead_s(2, 0.0)
-            assert ahead_s <= policy.ahead_s + 17_000 / READ_TOKENS_S
+            backlog_s = server.prefill.backlog_s(2, 0.0)
+            assert backlog_s <= policy.backlog_s + 17_000 / PREFILL_TOKENS_PER_S
 
     @pytest.mark.parametrize('lost', range(5))
     def test_any_server_may_be_lost(self, lost):
@@ -305,23 +307,25 @@
 class TestCacheMap:
     """Test what is taken as cached."""
 
-    def test_chain_needs_all_parts_before(self):
+    def test_part_counts_only_after_preceding_parts(self):
         """A part counts only behind the parts before it."""
         cache = CacheMap(MEMORY)
         first, second = PromptPiece(1, 100), PromptPiece(2, 50)
-        cache.note('e', (second,))
-        assert cache.cached('e', (first, second)) == 0
-        cache.note('e', (first,))
-        assert cache.cached('e', (first, second)) == 150
-        assert cache.cached('other', (first, second)) == 0
+        cache.record('e', (second,))
+        assert cache.cached_tokens('e', (first, second)) == 0
+        cache.record('e', (first,))
+        assert cache.cached_tokens('e', (first, second)) == 150
+        assert cache.cached_tokens('other', (first, second)) == 0
 
-    def test_least_recently_used_parts_yield(self):
+    def test_least_recently_used_parts_are_evicted(self):
         """The memory of an engine bounds what is taken as cached."""
         cache = CacheMap(1000)
         pieces = [PromptPiece(key, 100) for key in range(8)]
         for piece in pieces:
-            cache.note('e', (piece,))
-            cache.note('e', pieces[:1])
-        kept = [piece.key for piece in pieces if cache.cached('e', (piece,))]
+            cache.record('e', (piece,))
+            cache.record('e', pieces[:1])
+        kept = [
+            piece.key for piece in pieces if cache.cached_tokens('e', (piece,))
+        ]
         # A part of the memory is left to running requests.
         assert kept == [0, 2, 3, 4, 5, 6, 7]
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -58,4 +58,4 @@
             instance.assigner.note_placed(PromptPlaced('e-1', (PART,)))
             return instance.assigner.broker('lm').table.cache
 
-        assert asyncio.run(play()).cached('e-1', (PART,)) == PART.tokens
+        assert asyncio.run(play()).cached_tokens('e-1', (PART,)) == PART.tokens
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -31,7 +31,7 @@
     TokensObserved,
 )
 
-FIXED = LimitPolicy(start=2, least=2, most=2)
+FIXED = LimitPolicy(start=2, minimum=2, maximum=2)
 
 
 def ticket(name, tier=0, at_s=0.0, **more):
@@ -256,7 +256,9 @@
 
     def test_slow_server_gets_less(self):
         """A server with slow tokens is set aside but for one probe."""
-        made = broker(servers=3, limit=LimitPolicy(start=4, least=2, most=4))
+        made = broker(
+            servers=3, limit=LimitPolicy(start=4, minimum=2, maximum=4)
+        )
         for _ in range(8):
             made.apply(TokensObserved('server-0', 0.2), 1.0)
             made.apply(TokensObserved('server-1', 0.02), 1.0)
@@ -275,7 +277,9 @@
 
     def test_stream_leaves_a_slow_server(self):
         """A stream whose token target is lost goes on elsewhere."""
-        made = broker(servers=2, limit=LimitPolicy(start=4, least=2, most=4))
+        made = broker(
+            servers=2, limit=LimitPolicy(start=4, minimum=2, maximum=4)
+        )
         fast = ticket('fast', token_s=0.06)
         patient = ticket('patient', 5, token_s=0.9)
         for one in (fast, patient):
@@ -323,7 +327,7 @@
     )
     def start(self, servers, slots, queue_most):
         """Start with some backend servers."""
-        self.limit = LimitPolicy(start=slots, least=1, most=slots)
+        self.limit = LimitPolicy(start=slots, minimum=1, maximum=slots)
         self.policy = BrokerPolicy(limit=self.limit, queue_most=queue_most)
         self.broker = Broker(self.policy)
         self.now_s = 0.0
@@ -437,7 +441,7 @@
         counts = {}
         for _, server in self.held.values():
             counts[server] = counts.get(server, 0) + 1
-        assert max(counts.values(), default=0) <= self.limit.most
+        assert max(counts.values(), default=0) <= self.limit.maximum
 
     @invariant()
     def queue_is_bounded(self):
--- a/tests/test_small_parts.py
+++ b/tests/test_small_parts.py
@@ -14,7 +14,7 @@
 from siskinpass.version.keys import KeyTable, hash_key, make_key
 from siskinpass.version.schema import Root, Tree, Workspace
 
-POLICY = LimitPolicy(start=8, least=2, most=24, token_s=0.04)
+POLICY = LimitPolicy(start=8, minimum=2, maximum=24, token_s=0.04)
 
 
 class TestSlotLimit:
@@ -36,16 +36,16 @@
             limit.observe(token_s, 0.0, Sample(6 * used, used, step / 10))
         assert limit.slots == slots
 
-    def test_one_slow_token_does_not_hold_a_quiet_server_down(self):
+    def test_quiet_server_recovers_after_one_slow_token(self):
         """A server that is fast again gets back the slots it began with."""
         limit = SlotLimit(POLICY)
         limit.observe(0.2, 0.0, Sample(1, 1, 0.0))
-        assert limit.slots == POLICY.least
+        assert limit.slots == POLICY.minimum
         for step in range(1, 40):
             limit.observe(0.01, 0.0, Sample(1, 1, step / 10))
         assert limit.slots == POLICY.start
 
-    def test_grows_slowly_near_the_defended_time(self):
+    def test_grows_slowly_near_the_target_time(self):
         """Close to the defended token time the limit feels its way."""
         far, near = SlotLimit(POLICY), SlotLimit(POLICY)
         far.observe(0.015, 0.0, Sample(20, 8, 0.0))
@@ -58,7 +58,7 @@
         limit = SlotLimit(POLICY)
         for step, (token_s, running) in enumerate(seen):
             limit.observe(token_s, 0.0, Sample(running, running, float(step)))
-            assert POLICY.least <= limit.slots <= POLICY.most
+            assert POLICY.minimum <= limit.slots <= POLICY.maximum
 
 
 class TestSwingReserve:
@@ -87,21 +87,21 @@
         """A tier's wait follows from its own grants and those above."""
         rate = GrantRate()
         for step in range(50):
-            rate.note(step % 2, step / 10)
+            rate.record(step % 2, step / 10)
         assert rate.wait_s(0, 25, 5.0) == pytest.approx(RATE_WINDOW_S)
         assert rate.wait_s(1, 25, 5.0) == pytest.approx(RATE_WINDOW_S / 2)
 
-    def test_tells_nothing_from_a_window_that_is_not_full(self):
+    def test_no_estimate_from_a_partial_window(self):
         """The first grants after a start or a pause refuse nobody."""
         rate = GrantRate()
         for step in range(15):
-            rate.note(0, 100 + step / 30)
+            rate.record(0, 100 + step / 30)
         assert rate.wait_s(0, 110, 100.5) == 0
 
-    def test_tells_nothing_from_little(self):
+    def test_no_estimate_from_few_grants(self):
         """Without enough grants nobody is refused."""
         rate = GrantRate()
-        rate.note(0, 0.0)
+        rate.record(0, 0.0)
         assert rate.wait_s(0, 1000, 1.0) == 0
 
 
@@ -109,7 +109,7 @@
     """Test the choice of instances."""
 
     @given(st.sets(st.text(min_size=1, max_size=4), min_size=2, max_size=9))
-    def test_loss_moves_only_what_was_held(self, names):
+    def test_removal_moves_only_keys_of_removed_name(self, names):
         """Other groups keep their broker when an instance dies."""
         groups = [f'g{number}' for number in range(20)]
         before = {group: holder(group, names) for group in groups}
