--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -1,16 +1,25 @@
-"""Choose backend servers by what a request costs there.
-
-Pure logic, for services of model engines under bursts. The cost of a server
-is in prompt tokens that are read before or because of the request:
-
-- what the engine has yet to read for requests that are placed there,
-- what it has to read of this prompt, beyond what it has cached,
-- what each running request adds to the time of a generated token,
-- a penalty where streams with a tight pause and long prompts would share an
-  engine: a prompt that is read beside a stream stretches its pauses.
-
-A prompt part that is cached elsewhere weighs more than its reading takes, as
-each engine has memory for only a part of the shared prompts.
+"""Choose backend servers by the cost of a request on each of them.
+
+Pure logic, for services of model engines under bursty load. The cost of a
+server is counted in prompt tokens. It is the sum of
+
+- the unread tokens: prompt tokens of requests that are already placed on the
+  engine and whose prefill is not done,
+- the tokens of this prompt that the engine does not have cached,
+- a cost for each running request, as each one makes every generated token of
+  the others slower,
+- a cost for the server's recent failure rate,
+- a cost for servers other than the prompt's home, which is chosen by
+  rendezvous hashing of its last shared part,
+- a penalty for mixing tight streams and long prompts on one engine. A tight
+  stream (``Ticket.is_tight``) has a strict limit on the pause between tokens,
+  and the prefill of another prompt makes its pauses longer.
+
+To keep the latter apart, some of the servers form a partition for tight
+streams, whose size follows the number of these streams.
+
+A prompt part that is cached on another server costs more than its prefill
+takes, because each engine has memory for only some of the shared parts.
 """
 
 import math
@@ -24,49 +33,62 @@
 from siskinpass.request.ticket import Ticket
 
 MIN_PARTITION_SERVERS = 3
-# A plain server that fails all requests counts as this many times full.
+# A plain server (one without a model engine) that fails all requests costs as
+# much as one with this many requests for each of its slots.
 PLAIN_FAILURE_WEIGHT = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class AffinityPolicy:
-    """Set the weights of the cost.
-
-    :param running_tokens: cost of one running request. On the sheets a step
-        takes 0.165 ms longer for it; over 40 steps that is the time in which
-        an engine reads about 400 prompt tokens.
-    :param reread_factor: weight of tokens that another server has cached;
-        3 diverted half again as many, see docs/design/platform.md.
-    :param behind_weight: weight of unread prompts of lower tiers. An engine
-        goes on with the chunk that it reads, and its streams' pauses grow.
-    :param home_tokens: what a server that is not the home of the prompt's
-        last shared part costs more. Equal servers are told apart by it, so
-        that parts spread over all memories and two instances choose alike.
-    :param tight_home_factor: bounds the same for streams with a tight pause,
-        by the tokens of their short shared parts: the lane's even pace is
-        worth more than reading these again.
-    :param lane_penalty: cost of sharing an engine against the lanes: ten
-        seconds of reading, so that only failures bring it about.
-    :param lane_streams: streams with a tight pause for each engine of their
-        lane; a step then takes 1.5 times as long as alone, and with more
-        their own prompts stretch their pauses.
-    :param lane_least: part of the engines that the lane takes at least.
-    :param lane_most: part of the engines that the lane may take.
-    :param lane_hold_s: time in which an unused lane shrinks to about a third:
-        longer than the sheets' bursts are apart, so that the parts of its
+    """Weights and limits of the choice.
+
+    :param running_request_tokens: cost of one running request. According to
+        the data sheets it makes a decoding step 0.165 ms longer. Over 40 steps
+        that is the time of the prefill of about 400 tokens.
+    :param lower_tier_weight: weight of unread tokens of lower tiers. They count
+        because an engine finishes the prefill chunk that it has begun, and the
+        pauses of its streams grow.
+    :param duplicate_prefill_factor: weight of tokens that another server has
+        cached. With 3, half again as many requests were diverted from that
+        server, see docs/design/platform.md.
+    :param non_home_tokens: additional cost of a server that is not the home of
+        the prompt's last shared part. It decides between otherwise equal
+        servers, so that the parts spread over the memory of all engines and
+        two instances make the same choice.
+    :param tight_non_home_factor: limits ``non_home_tokens`` for tight streams
+        to this multiple of the tokens of their shared parts. These parts are
+        short, and an even pace in the partition is worth more than avoiding
+        another prefill of them.
+    :param partition_penalty: cost of a tight stream outside the partition or a
+        long prompt inside it: ten seconds of prefill, so that this happens only
+        after failures.
+    :param streams_per_partition_server: tight streams for each engine of the
+        partition. A decoding step then takes 1.5 times as long as with one
+        stream; with more streams the prefill of their own prompts makes their
+        pauses longer.
+    :param min_partition_fraction: smallest fraction of the engines that the
+        partition takes.
+    :param max_partition_fraction: largest fraction of the engines that the
+        partition may take.
+    :param partition_decay_s: time in which the stream count that sizes an
+        unused partition falls to about a third. It is longer than the time
+        between the bursts in the data sheets, so that the cached parts of its
         engines need not move twice.
-    :param trouble_tokens: cost of a server that fails all requests, two
-        seconds of reading.
-    :param long_tokens: prompts above this length do not belong in the lane.
-        An engine reads 4,096 tokens between two steps.
-    :param ahead_s: reading time that is placed on an engine ahead of a
-        request. What waits here instead keeps its order by tier and target.
-    :param tight_wait_s: longest time that a stream with a tight pause waits
-        for its prompt's turn; a fifth of the shortest target of the sheets.
-    :param unread_most: prompt tokens of a tier and those above it that an
-        engine may have unread, should it be slower than expected: a second.
-    :param plain_overfull: requests for each slot of a plain service; the half
-        beyond it covers the way to the server and back.
+    :param failure_tokens: cost of a server that fails all requests: two seconds
+        of prefill.
+    :param long_prompt_tokens: prompts above this length do not belong in the
+        partition. An engine prefills 4,096 tokens between two decoding steps.
+    :param backlog_s: estimated prefill backlog up to which an engine gets
+        another prompt. Requests that wait in the broker instead keep their
+        order by tier and target.
+    :param max_tight_wait_s: longest time that a tight stream waits until the
+        paced prefill of the prompts before it is done: a fifth of the shortest
+        latency target in the data sheets.
+    :param max_unread_tokens: unread tokens of a tier and those above it up to
+        which an engine gets another prompt of that tier: one second of prefill.
+        This bounds the backlog of an engine that is slower than estimated.
+    :param plain_requests_per_slot: requests for each slot of a plain server.
+        The additional half covers the network round trip.
     """
 
     running_request_tokens: float = 400.0
@@ -88,15 +110,19 @@
 
 
 class AffinityChooser:
-    """Choose a server for a ticket."""
+    """Callable that chooses a server for a ticket by its cost."""
 
     def __init__(self, policy: AffinityPolicy | None = None) -> None:
-        """Keep the weights."""
         self._policy = policy or AffinityPolicy()
         self._partition = _PartitionSize(self._policy)
 
     def __call__(self, table: ServerTable, ticket: Ticket) -> Server | None:
-        """Return the cheapest server, none where the ticket should wait."""
+        """Return the cheapest server, or ``None`` if the ticket should wait.
+
+        A server that has just failed for this ticket is used only if no other
+        server is free. Tickets without prompt parts are placed by
+        load and failure rate only.
+        """
         free = table.open_servers()
         preferred = [one for one in free if one.view.name != ticket.avoid]
         servers = preferred or free
@@ -124,15 +150,17 @@
         ticket: Ticket,
         now_s: float,
     ) -> bool:
-        """Tell whether the engine's backlog is short enough.
+        """Return whether the engine's prefill backlog is short enough.
 
-        What waits here instead of at the engine keeps its order by target.
+        Requests that wait here instead of at the engine keep their order by
+        tier and target.
         """
         policy = self._policy
         if server.load.unread_to(ticket.tier) > policy.max_unread_tokens:
             return False
         if ticket.is_tight:
-            # One prompt after the other stretches the streams' pauses least.
+            # Prefilling one prompt at a time lengthens the pauses of the
+            # running streams least.
             return (
                 server.prefill.paced_backlog_s(now_s) == 0
                 or now_s - ticket.opened_s > policy.max_tight_wait_s
@@ -141,10 +169,9 @@
 
 
 class _PartitionSize:
-    """Size the lane by the streams with a tight pause that run."""
+    """Size the partition by the number of running tight streams."""
 
     def __init__(self, policy: AffinityPolicy) -> None:
-        """Start with the least lane."""
         self._policy = policy
         self._streams = 0.0
         self._updated_s = 0.0
@@ -156,9 +183,10 @@
         servers: Sequence[Server],
         now_s: float,
     ) -> frozenset[str]:
-        """Return the servers of the lane, none where there are too few.
+        """Return the names of the servers in the partition.
 
-        :param servers: those that may get a request now.
+        :param servers: those with a free slot.
+        :returns: empty if there are fewer than ``MIN_PARTITION_SERVERS``.
         """
         if len(servers) < MIN_PARTITION_SERVERS:
             return frozenset()
@@ -180,7 +208,10 @@
         return frozenset(ordered[: max(1, min(wanted_size, max_size))])
 
     def _rank(self, names: Iterable[str]) -> tuple[str, ...]:
-        """Return the order in which servers join the lane."""
+        """Return the order in which servers join the partition.
+
+        It is the same on all instances, and cached while the names stay.
+        """
         given = frozenset(names)
         if given != self._ranked_names:
             self._ranked_names = given
@@ -189,7 +220,7 @@
 
 
 class _PromptCost:
-    """Work out the cost of each server for one ticket."""
+    """Compute the cost of each server for one ticket."""
 
     def __init__(
         self,
@@ -199,7 +230,11 @@
         partition: frozenset[str],
         servers: Sequence[Server],
     ) -> None:
-        """Look up what each server has cached."""
+        """Look up the cached tokens and the home of the prompt.
+
+        :param partition: names of the servers for tight streams.
+        :param servers: those that the ticket may be placed on.
+        """
         self._policy = policy
         self._ticket = ticket
         self._partition = partition
@@ -215,7 +250,7 @@
         self._home = self._find_home(servers)
 
     def of(self, server: Server) -> tuple[float, str]:
-        """Return the cost of a server, its name to break ties."""
+        """Return the cost of a server, and its name as a tie-break."""
         policy = self._policy
         name = server.view.name
         cached_tokens = self._cached[name]
@@ -233,7 +268,11 @@
         return cost + self._partition_cost(server), name
 
     def _find_home(self, servers: Sequence[Server]) -> str:
-        """Return the home of the prompt among the servers of its lane."""
+        """Return the home of the prompt's last shared part.
+
+        Tight streams have their home in the partition and other prompts have
+        it outside, as long as there are such servers.
+        """
         names = {server.view.name for server in servers}
         if self._partition:
             allowed = (
@@ -259,7 +298,8 @@
         if not self._partition:
             return 0.0
         if self._ticket.is_tight:
-            # The pace differs from the load only for servers of the lane.
+            # Only servers of the partition have a paced backlog that differs
+            # from their load.
             pace = (
                 server.prefill.paced_backlog_s(self._now_s)
                 * PREFILL_TOKENS_PER_S
--- a/src/siskinpass/process/cache_map.py
+++ b/src/siskinpass/process/cache_map.py
@@ -1,8 +1,9 @@
-"""Know which prompt parts each backend server has probably cached.
+"""Estimate which prompt parts each backend server has cached.
 
-Pure logic. What was placed on a server is taken as cached there until the
-least recently used parts exceed what its memory keeps. An engine finds a part
-only if it has all parts before it, so parts are followed as chains.
+Pure logic. A part that was placed on a server counts as cached there until it
+is evicted as the least recently used one. An engine can reuse a part only if it
+has all parts before it, so only an unbroken run of parts from the start of a
+prompt counts.
 """
 
 from collections import OrderedDict
@@ -10,24 +11,25 @@
 
 from siskinpass.request.ticket import PromptPiece
 
-# Running requests take their share of an engine's memory; the rest caches.
+# Fraction of an engine's memory that holds cached parts; running requests use
+# the rest.
 CACHE_FRACTION = 0.7
 
 
 class ServerCache:
-    """Follow the parts on one server."""
+    """Prompt parts that one server probably has cached."""
 
     def __init__(self, memory_tokens: int) -> None:
-        """Start empty.
+        """Initialize an empty cache.
 
-        :param memory_tokens: tokens that the engine's memory holds.
+        :param memory_tokens: KV cache capacity of the engine in tokens.
         """
         self._parts: OrderedDict[int, int] = OrderedDict()
         self._tokens = 0
         self.resize(memory_tokens)
 
     def resize(self, memory_tokens: int) -> None:
-        """Take in another size of the engine's memory."""
+        """Set the engine's memory size and evict parts that do not fit."""
         self._capacity_tokens = memory_tokens * CACHE_FRACTION
         self._evict_oldest()
 
@@ -41,7 +43,7 @@
         return total
 
     def record(self, pieces: Iterable[PromptPiece]) -> None:
-        """Note a prompt that was placed here."""
+        """Record the parts of a prompt as the most recently used ones."""
         for piece in pieces:
             if piece.key in self._parts:
                 self._parts.move_to_end(piece.key)
@@ -57,23 +59,26 @@
 
 
 class CacheMap:
-    """Follow the parts on all servers of a group."""
+    """Prompt parts that the servers of a group probably have cached."""
 
     def __init__(self, memory_tokens: int) -> None:
-        """Start with nothing cached.
+        """Initialize a map without servers.
 
-        :param memory_tokens: tokens that the memory of each engine holds.
+        :param memory_tokens: KV cache capacity of each engine in tokens.
         """
         self._memory_tokens = memory_tokens
         self._caches: dict[str, ServerCache] = {}
 
     def cached_tokens(self, server: str, pieces: Sequence[PromptPiece]) -> int:
-        """Return how many tokens of a prompt a server need not read."""
+        """Return how many tokens of a prompt a server need not prefill.
+
+        It is 0 for an unknown server.
+        """
         cache = self._caches.get(server)
         return cache.cached_tokens(pieces) if cache else 0
 
     def record(self, server: str, pieces: Iterable[PromptPiece]) -> None:
-        """Note a prompt that was placed on a server."""
+        """Record the parts of a prompt that was placed on a server."""
         cache = self._caches.get(server)
         if cache is None:
             cache = ServerCache(self._memory_tokens)
@@ -81,12 +86,12 @@
         cache.record(pieces)
 
     def resize(self, memory_tokens: int) -> None:
-        """Take in another size of the engines' memory."""
+        """Set the memory size of all engines."""
         if memory_tokens != self._memory_tokens:
             self._memory_tokens = memory_tokens
             for cache in self._caches.values():
                 cache.resize(memory_tokens)
 
     def remove_server(self, server: str) -> None:
-        """Forget a server that ended or started anew."""
+        """Drop the cache of a server that has ended or restarted."""
         self._caches.pop(server, None)
--- a/src/siskinpass/process/known_servers.py
+++ b/src/siskinpass/process/known_servers.py
@@ -1,26 +1,29 @@
-"""Know which backend servers may be used.
+"""Track which backend servers may be used.
 
-Pure logic. While the registry was away its entries may have lapsed although
-their servers live; such entries come back soon after it answers again. Until
-then a server whose entry is missing is still used; after that it is gone.
+Pure logic. During an outage of the registry its entries may expire although the
+servers are alive; their entries reappear soon after the registry answers again.
+A server whose entry is missing is still used for a grace period after an
+outage, and removed after that.
 """
 
 from collections.abc import Iterable
 
 from siskinpass.request.ticket import ServerView
 
-# The platform states that lapsed entries are back about two seconds after the
-# store's return.
+# The platform states that expired entries reappear about two seconds after the
+# store is available again.
 RECOVERY_GRACE_S = 2.2
-# Entries lapse after three heartbeats; a shorter outage removes none.
+# Entries expire after three heartbeat intervals; a shorter outage removes none.
 MIN_OUTAGE_S = 1.5
 
 
 class KnownServers:
-    """Hold the entries of the registry."""
+    """Backend servers as last listed by the registry.
+
+    Each method that applies an answer of the registry also ends an outage.
+    """
 
     def __init__(self) -> None:
-        """Start empty, with the registry not heard of yet."""
         self._views: dict[str, ServerView] = {}
         self._missing: set[str] = set()
         self._heard_s = float('-inf')
@@ -29,16 +32,23 @@
 
     @property
     def views(self) -> tuple[ServerView, ...]:
-        """Return the servers to use or to leave, by name."""
+        """Return all known servers, ordered by name.
+
+        They include leaving servers and those that are missing from the
+        registry during a grace period.
+        """
         return tuple(self._views[name] for name in sorted(self._views))
 
     def mark_unreachable(self, now_s: float) -> None:
-        """Note that the registry does not answer."""
+        """Record that the registry does not answer.
+
+        Repeated calls during an outage keep its first time.
+        """
         if self._outage_start_s is None:
             self._outage_start_s = now_s
 
     def apply_listing(self, views: Iterable[ServerView], now_s: float) -> None:
-        """Take in all entries."""
+        """Update the servers from a full listing of the registry."""
         self._mark_reachable(now_s)
         listed = {view.name: view for view in views}
         missing = self._views.keys() - listed.keys()
@@ -47,21 +57,23 @@
         self._mark_missing(missing, now_s)
 
     def put(self, view: ServerView, now_s: float) -> None:
-        """Take in one entry that is new or changed."""
+        """Add or replace the server of one entry."""
         self._mark_reachable(now_s)
         self._views[view.name] = view
         self._missing.discard(view.name)
 
     def remove(self, name: str, now_s: float) -> None:
-        """Take in that an entry is gone."""
+        """Remove a server, or mark it as missing during a grace period."""
         self._mark_reachable(now_s)
         if name in self._views:
             self._mark_missing({name}, now_s)
 
     def expire_missing(self, now_s: float) -> bool:
-        """Drop servers that were missing for too long.
+        """Remove the missing servers once the grace period is over.
+
+        Nothing is removed during an outage of the registry.
 
-        :returns: whether any was dropped.
+        :returns: whether any server was removed.
         """
         if not self._missing or self._outage_start_s is not None:
             return False
@@ -71,14 +83,8 @@
         return True
 
     def _mark_reachable(self, now_s: float) -> None:
-        outage_start_s, self._outage_start_s = (
-            self._outage_start_s,
-            None,
-        )
-        if (
-            outage_start_s is not None
-            and now_s - outage_start_s >= MIN_OUTAGE_S
-        ):
+        start_s, self._outage_start_s = self._outage_start_s, None
+        if start_s is not None and now_s - start_s >= MIN_OUTAGE_S:
             self._grace_until_s = now_s + RECOVERY_GRACE_S
 
     def _mark_missing(self, names: set[str], now_s: float) -> None:
--- a/src/siskinpass/process/limits.py
+++ b/src/siskinpass/process/limits.py
@@ -1,6 +1,7 @@
-"""Adapt the slots of one backend server to the token times it shows.
+"""Adapt the slots of one backend server to its observed token times.
 
-Pure logic: observations and a clock go in, a limit comes out.
+Pure logic: the input is observations and a clock, the output is a limit. The
+limit grows while tokens are fast and is cut by a factor once they are slow.
 """
 
 from dataclasses import dataclass
@@ -8,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitPolicy:
-    """Bound the slots of a backend server.
+    """Bounds and target of the slots of a backend server.
 
-    :param start: slots before anything was observed.
-    :param least: slots that are always left.
-    :param most: slots that are never exceeded.
-    :param token_s: token time that the limit defends, in seconds.
+    :param start: slots before the first observation.
+    :param minimum: slots below which the limit never falls.
+    :param maximum: slots above which the limit never rises.
+    :param token_s: target of the mean time between tokens, in seconds.
     """
 
     start: int = 8
@@ -27,7 +28,7 @@
 DECREASE_INTERVAL_S = 0.5
 TOLERANCE = 1.15
 FAST_GROWTH_BELOW = 0.7
-FAST_GROWTH = 0.25  # slots for each token seen
+FAST_GROWTH = 0.25  # slots for each observed token
 SLOW_GROWTH = 0.15
 BUSY_FRACTION = 0.75
 STALE_AFTER_S = 3.0
@@ -35,10 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Describe when and on what an observation was made.
+    """Context of one observation.
 
-    :param tokens: tokens that it is made of.
-    :param running: slots in use when it was made.
+    :param tokens: number of tokens observed.
+    :param running: slots in use at the time.
+    :param now_s: time of the observation.
     """
 
     tokens: int
@@ -47,10 +49,9 @@
 
 
 class SlotLimit:
-    """Track the limit and the speed of one backend server."""
+    """Concurrency limit and measured speed of one backend server."""
 
     def __init__(self, policy: LimitPolicy) -> None:
-        """Start from the policy's first limit."""
         self._policy = policy
         self._limit = float(policy.start)
         self._token_s = 0.0
@@ -65,21 +66,21 @@
 
     @property
     def token_s(self) -> float:
-        """Return the smoothed token time, 0 before the first token."""
+        """Return the smoothed time between tokens, 0 before any was seen."""
         return self._token_s
 
     @property
     def first_token_s(self) -> float:
-        """Return the smoothed time to the first token."""
+        """Return the smoothed time to first token, 0 before any was seen."""
         return self._first_token_s
 
     def observe(
         self, token_s: float, first_token_s: float, sample: Sample
     ) -> None:
-        """Take in one observation.
+        """Update the speed, and the limit if ``token_s`` is known.
 
-        :param token_s: mean time between tokens, 0 where none was seen.
-        :param first_s: time to the first token, 0 where none was seen.
+        :param token_s: mean time between tokens in seconds, 0 if unknown.
+        :param first_token_s: time to first token in seconds, 0 if unknown.
         """
         self._observed_s = sample.now_s
         if first_token_s > 0:
@@ -89,7 +90,7 @@
             self._adapt(sample)
 
     def is_stale(self, now_s: float) -> bool:
-        """Tell whether the speed is too old to be believed."""
+        """Return whether the last observation is too old to rely on."""
         return now_s - self._observed_s > STALE_AFTER_S
 
     def _adapt(self, sample: Sample) -> None:
@@ -97,17 +98,17 @@
         if self._token_s > policy.token_s * TOLERANCE:
             self._shrink(sample)
         elif self._may_grow(sample):
-            # Far below the defended time the limit follows a burst at once.
+            # Far below the target the limit has to follow a burst at once.
             is_far_below = self._token_s < policy.token_s * FAST_GROWTH_BELOW
             growth = FAST_GROWTH if is_far_below else SLOW_GROWTH / self._limit
             grown = self._limit + sample.tokens * growth
             self._limit = min(float(policy.maximum), grown)
 
     def _may_grow(self, sample: Sample) -> bool:
-        """Tell whether the limit is in use, or below where it began.
+        """Return whether most slots are in use or the limit is below its start.
 
-        Below that, a reserve for upper tiers can keep the limit from ever being
-        in use.
+        Below its start the limit may grow unused: slots reserved for upper
+        tiers could otherwise keep it from ever being in use.
         """
         is_busy = sample.running >= self._limit * BUSY_FRACTION
         return is_busy or self._limit < self._policy.start
--- a/src/siskinpass/process/placement.py
+++ b/src/siskinpass/process/placement.py
@@ -1,7 +1,8 @@
 """Choose the backend server for a granted ticket.
 
-Pure logic. Own observations decide; a server much slower than the median
-of its group gets little, and at most a fraction of the group is set aside.
+Pure logic, based on the broker's own observations. A server that is much
+slower than the median of its group keeps a single slot. At most a fraction of
+the group is marked slow at a time.
 """
 
 import hashlib
@@ -30,17 +31,28 @@
 AFFINITY_SLOTS = 2
 PENALTY_FACTOR = 4.0
 NO_LOAD = ServerLoad()
-FAILURE_RATE_SMOOTHING = 0.1  # about the last ten outcomes
-# A server is tried again after about as long as the operator takes a calm
-# machine to be in touch.
+FAILURE_RATE_SMOOTHING = 0.1  # averages about the last ten outcomes
+# Equals the default of the operator's contact-ms, the time without faults after
+# which an instance counts as connected: a failed server is retried after about
+# as long.
 FAILURE_RATE_DECAY_S = 3.0
 
 
 @dataclass(slots=True)
 class Server:
-    """Hold what the broker knows of one backend server.
-
-    :param load: what all instances run on it, ``own`` and ``peers``.
+    """State of one backend server as known to the broker.
+
+    :param running: requests that this broker has granted on it.
+    :param slow: whether its token time is far above the group's median.
+    :param failures: failed requests in a row, at most
+        ``MAX_COUNTED_FAILURES``.
+    :param ejected_until_s: time until which it gets no requests.
+    :param own: load that this instance has placed on it.
+    :param peers: load that the other instances have placed on it.
+    :param load: sum of ``own`` and ``peers``.
+    :param failure_rate: moving average at the time of the last outcome.
+    :param probe_after: failures in a row after which it gets one request at a
+        time.
     """
 
     view: ServerView
@@ -58,13 +70,13 @@
     probe_after: int = 1
 
     def add(self, step: ServerLoad) -> None:
-        """Count a step of this instance's load, negative for what ended."""
+        """Add to this instance's load; a negative step removes load."""
         self.running += step.running
         self.own += step
         self.load = self.own + self.peers
 
     def set_peer_load(self, peers: ServerLoad) -> None:
-        """Take what the other instances run on it."""
+        """Replace the load of the other instances."""
         self.peers = peers
         self.load = self.own + peers
 
@@ -74,13 +86,16 @@
         prompt: Ticket | PromptPlaced,
         now_s: float,
     ) -> None:
-        """Count the reading of a placed prompt."""
+        """Add a placed prompt to the estimated prefill backlog.
+
+        :param unread: prompt tokens that the server does not have cached.
+        """
         self.prefill.add(unread, prompt.tier, now_s)
         if prompt.is_tight:
             self.prefill.add_paced(unread, now_s)
 
     def update_failure_rate(self, now_s: float, *, is_failure: bool) -> None:
-        """Follow the part of requests that failed here."""
+        """Update the moving average of failed requests with one outcome."""
         known = self.failure_rate_at(now_s)
         self.failure_rate = known + FAILURE_RATE_SMOOTHING * (
             is_failure - known
@@ -88,15 +103,21 @@
         self.last_outcome_s = now_s
 
     def failure_rate_at(self, now_s: float) -> float:
-        """Return the part of requests that failed, less as time passes.
+        """Return the failure rate, decayed since the last outcome.
 
-        A server that gets nothing would otherwise stay in trouble.
+        Without the decay a server that gets no requests would keep its failure
+        rate for ever.
+
+        :returns: 0 to 1.
         """
         passed_s = max(0.0, now_s - self.last_outcome_s)
         return self.failure_rate * math.exp(-passed_s / FAILURE_RATE_DECAY_S)
 
     def update_ejection(self, now_s: float, *, failed: bool) -> None:
-        """Shun a server that failed, longer with each failure in a row."""
+        """Eject the server after a failure, with exponential backoff.
+
+        A request that did not fail resets the count of failures.
+        """
         if not failed:
             self.failures = 0
             return
@@ -107,20 +128,23 @@
         self.ejected_until_s = now_s + ejection_s
 
     def clear_failures(self, now_s: float) -> None:
-        """Trust a server again once it brings tokens after its failures."""
+        """Reset the count of failures, as the server delivers tokens.
+
+        Does nothing while the server is ejected.
+        """
         if now_s >= self.ejected_until_s:
             self.failures = 0
 
     def free_slots(self, now_s: float) -> int:
-        """Return how many more requests it may get."""
+        """Return how many more requests it may get; it may be negative."""
         if self.view.leaving or now_s < self.ejected_until_s:
             return 0
         if self.failures >= self.probe_after:
-            # One request at a time probes a server that has failed.
+            # Probe a server that has failed with one request at a time.
             return 1 - self.running
         slots = self.limit.slots
         if self.slow:
-            # A slow server keeps one slot, whose tokens probe its recovery.
+            # The tokens of the remaining slot show whether it has recovered.
             slots = min(slots, SLOW_SLOTS)
         return slots - self.running
 
@@ -129,7 +153,7 @@
 
 
 class ServerTable:
-    """Own the backend servers of one group."""
+    """The backend servers of one group and the choice between them."""
 
     def __init__(
         self,
@@ -140,12 +164,14 @@
         memory_tokens: int = 0,
         probe_after: int = 1,
     ) -> None:
-        """Start without servers.
-
-        :param at_random: place without regard to load and speed.
-        :param chooser: chooses among the servers with a free slot, in place
-            of the cost by slots and speed.
-        :param memory_tokens: tokens that each engine's memory holds.
+        """Initialize a table without servers.
+
+        :param policy: bounds of the slots of each server.
+        :param at_random: choose any server with a free slot, regardless of
+            load and speed.
+        :param chooser: chooses among the servers with a free slot; replaces
+            the cost by slots and token time.
+        :param memory_tokens: KV cache capacity of each engine in tokens.
         :param probe_after: failures in a row after which a server gets one
             request at a time.
         """
@@ -160,12 +186,12 @@
 
     @property
     def servers(self) -> Iterable[Server]:
-        """Return the servers in a stable order."""
+        """Return the servers in the order in which they were first listed."""
         return self._servers.values()
 
     @property
     def slots(self) -> int:
-        """Return the slots of all servers that take new requests."""
+        """Return the total slots of the servers that are not leaving."""
         return sum(
             server.limit.slots
             for server in self._servers.values()
@@ -174,7 +200,10 @@
 
     @property
     def first_token_s(self) -> float:
-        """Return the mean time to a first token, 0 where none was seen."""
+        """Return the mean time to first token of the servers not marked slow.
+
+        :returns: seconds, 0 before any observation.
+        """
         times = [
             server.limit.first_token_s
             for server in self._servers.values()
@@ -183,18 +212,23 @@
         return sum(times) / len(times) if times else 0.0
 
     def free_slots(self, now_s: float) -> int:
-        """Return the slots that can be granted now."""
+        """Return the total number of slots that can be granted now."""
         return sum(
             max(0, server.free_slots(now_s))
             for server in self._servers.values()
         )
 
     def find(self, name: str) -> Server | None:
-        """Return a server by its name."""
+        """Return a server by its name, or ``None`` if it is not known."""
         return self._servers.get(name)
 
     def replace(self, views: Iterable[ServerView]) -> None:
-        """Take the listed servers; a known one keeps its history."""
+        """Replace the list of servers.
+
+        A known server keeps its observations, but a new incarnation of it
+        starts with an empty cache. A server that is no longer listed is
+        removed, or marked as leaving while it still runs requests.
+        """
         listed = {view.name: view for view in views}
         for name, view in sorted(listed.items()):
             known = self._servers.get(name)
@@ -217,7 +251,7 @@
                 self.cache.remove_server(removed)
 
     def open_servers(self) -> list[Server]:
-        """Return the servers that may get a request now."""
+        """Return the servers that had a free slot at ``now_s``."""
         return [
             server
             for server in self._servers.values()
@@ -225,12 +259,20 @@
         ]
 
     def set_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
-        """Take what the other instances run on each server."""
+        """Replace the loads of the other instances.
+
+        :param loads: by server name; servers left out have no load.
+        """
         for name, server in self._servers.items():
             server.set_peer_load(loads.get(name, NO_LOAD))
 
     def mark_slow(self, now_s: float) -> None:
-        """Set aside the servers that are much slower than the median."""
+        """Mark the servers whose token time is far above the median.
+
+        The slowest ones are marked first, at most ``SLOW_FRACTION`` of the
+        servers with a known token time, but always one of them. A server
+        without recent observations is not marked.
+        """
         speeds = {
             name: server.limit.token_s
             for name, server in self._servers.items()
@@ -249,7 +291,7 @@
             server.slow = name in outliers and not server.limit.is_stale(now_s)
 
     def choose(self, ticket: Ticket, now_s: float) -> Server | None:
-        """Return the best server with a free slot, or none."""
+        """Return the best server with a free slot, or ``None``."""
         self.now_s = now_s
         if self._chooser is not None:
             return self._chooser(self, ticket)
@@ -268,7 +310,11 @@
         return best
 
     def record_prefix(self, prefix: int, name: str) -> None:
-        """Note which server has a prompt prefix in its cache."""
+        """Record which server has a prompt prefix in its cache.
+
+        Only the last ``MAX_PREFIXES`` prefixes are kept; 0 stands for an
+        unknown prefix and is ignored.
+        """
         if not prefix:
             return
         self._prefixes[prefix] = name
--- a/src/siskinpass/process/rendezvous.py
+++ b/src/siskinpass/process/rendezvous.py
@@ -1,27 +1,30 @@
-"""Choose instances by rendezvous hashing.
+"""Map keys to names by rendezvous hashing.
 
-Each instance comes to the same choice from the same set of names, and a
-change of the set moves only what the changed instance held.
+All instances compute the same result from the same set of names. Adding or
+removing a name moves only the keys that the name holds.
 """
 
 import hashlib
 from collections.abc import Iterable
 from functools import lru_cache
 
-# Pairs of a key and a name: each decision about a prompt compares all servers
-# for one of a few hundred keys.
+# Cached pairs of a key and a name. Each placement of a prompt compares all
+# servers for one of a few hundred keys.
 WEIGHT_CACHE_SIZE = 16_384
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Return the names in their order for a key, the holder first."""
+    """Return the names in descending order of their hash weight for a key.
+
+    The first one is the holder of the key.
+    """
     return sorted(names, key=lambda name: _weight(key, name), reverse=True)
 
 
 def holder(key: str, names: Iterable[str]) -> str:
-    """Return the name that holds a key.
+    """Return the name with the highest hash weight for a key.
 
-    :raises ValueError: where there are no names.
+    :raises ValueError: if there are no names.
     """
     return max(names, key=lambda name: _weight(key, name))
 
--- a/src/siskinpass/process/throughput.py
+++ b/src/siskinpass/process/throughput.py
@@ -1,37 +1,38 @@
 """Estimate how long a ticket will wait from the recent rate of grants.
 
-Pure logic. The rate of a tier counts the grants of that tier and of all
-above it over a sliding window; a window that is not full gives no estimate.
+Pure logic. The rate of a tier counts the grants of that tier and of all tiers
+above it in a sliding window. Too few grants or too short a span of them give no
+estimate.
 """
 
 from collections import Counter, deque
 
 WINDOW_S = 5.0
 MIN_GRANTS = 8
-# Grants that began a moment ago tell the speed of a start, not a rate.
+# Shorter spans after a start or a pause show the speed of the first grants, not
+# a sustained rate.
 MIN_WINDOW_S = 0.5 * WINDOW_S
 
 
 class GrantRate:
-    """Count the grants of each tier over a sliding window."""
+    """Number of grants of each tier in a sliding window."""
 
     def __init__(self) -> None:
-        """Start with an empty window."""
         self._grants: deque[tuple[float, int]] = deque()
         self._counts: Counter[int] = Counter()
 
     def record(self, tier: int, now_s: float) -> None:
-        """Count one grant."""
+        """Record one grant."""
         self._grants.append((now_s, tier))
         self._counts[tier] += 1
         self._expire(now_s)
 
     def wait_s(self, tier: int, ahead: int, now_s: float) -> float:
-        """Return the expected wait behind a number of tickets.
+        """Return the expected wait of a new ticket.
 
-        :param tier: tier of the new ticket.
-        :param ahead: tickets that are served before it.
-        :returns: seconds, 0 while too little is known.
+        :param tier: tier of the ticket.
+        :param ahead: number of tickets that are served before it.
+        :returns: seconds, 0 while there is no estimate.
         """
         self._expire(now_s)
         granted = sum(
