--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -49,8 +49,8 @@
         because an engine finishes the prefill chunk that it has begun, and the
         pauses of its streams grow.
     :param duplicate_prefill_factor: weight of tokens that another server has
-        cached. With 3, half again as many requests were diverted from that
-        server, see docs/design/platform.md.
+        cached. With 3, half again as many requests were diverted from it,
+        see docs/design/platform.md.
     :param non_home_tokens: additional cost of a server that is not the home of
         the prompt's last shared part. It decides between otherwise equal
         servers, so that the parts spread over the memory of all engines and
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""Play loads against the placement of prompts and look at who goes where."""
+"""Test the placement of prompts on servers, alone and under load."""
 
 from collections import Counter
 
@@ -37,14 +37,17 @@
 
 
 def broker(servers=SERVERS):
-    """Return a broker that places by cost."""
+    """Return a broker with the fleet policy, which places by cost."""
     made = Broker(fleet_policy(MEMORY))
     made.apply(ServersListed(servers), 0.0)
     return made
 
 
 def prompt(number, shared, *, shared_tokens=13_300, own=3_700, **more):
-    """Return the ticket of a long prompt that shares its first part."""
+    """Return the ticket of a long prompt.
+
+    :param shared: key of its first part, which it shares with others.
+    """
     pieces = (
         PromptPiece(shared, shared_tokens),
         PromptPiece(10**6 + number, own),
@@ -62,7 +65,7 @@
 
 
 def tight(number, **more):
-    """Return the ticket of a short prompt whose stream has a tight pause."""
+    """Return the ticket of a tight stream with a short prompt."""
     return prompt(
         number,
         number % 7,
@@ -76,7 +79,7 @@
 
 
 def grants(commands):
-    """Return the servers by ticket."""
+    """Return the granted servers by ticket id."""
     return {
         command.ticket_id: command.server
         for command in commands
@@ -85,10 +88,10 @@
 
 
 class TestPlacement:
-    """Test single choices."""
+    """Test the choice of a server."""
 
     def test_shared_part_is_prefilled_once(self):
-        """Prompts with the same part go where it is cached."""
+        """Prompts that share a part go to the server that has it cached."""
         made = broker()
         placed = {}
         for number in range(30):
@@ -104,16 +107,16 @@
         assert len(set.union(*by_part.values())) == 3
 
     def test_parts_placed_by_peers_are_known(self):
-        """What another instance placed draws the next prompt there."""
+        """A part that another instance placed attracts the next prompt."""
         made = broker()
         ticket = prompt(1, 5)
         event = PromptPlaced('e-3', ticket.pieces[:1], 13_300)
         made.apply(event, 0.0)
-        # Its reading is over by then.
+        # The server has finished the prefill of that prompt by then.
         assert grants(made.apply(TicketOpened(ticket), 2.0)) == {'t-1': 'e-3'}
 
     def test_peer_loads_count(self):
-        """A server that others load is passed over."""
+        """A server loaded by other instances is avoided."""
         made = broker()
         busy = ServerLoad(40, 0, (0, 0, 40_000))
         loads = {f'e-{n}': busy for n in range(5) if n != 2}
@@ -122,7 +125,7 @@
         assert placed == {'t-1': 'e-2'}
 
     def test_failing_plain_server_gets_few_requests(self):
-        """A server whose answers are errors is left for the others."""
+        """A server that answers with errors gets few requests."""
         made = broker(PLAIN)
         placed = []
         for number in range(60):
@@ -144,7 +147,10 @@
         assert placed.count('s-0') < 10
 
     def test_failure_rate_decays_without_requests(self):
-        """A server that got nothing for a while is one of the others."""
+        """The failure rate of a server without requests decays.
+
+        Otherwise such a server would never get a request again.
+        """
         made = broker()
         for number in range(10):
             made.apply(TicketOpened(prompt(number, number)), 0.0)
@@ -157,7 +163,7 @@
             assert server.failure_rate_at(20.0) < 0.01 * server.failure_rate
 
     def test_restarted_server_has_nothing_cached(self):
-        """A new incarnation of a server knows no parts."""
+        """A new incarnation of a server has an empty cache."""
         made = broker()
         made.apply(PromptPlaced('e-3', (PromptPiece(5, 13_300),), 0), 0.0)
         restarted = tuple(
@@ -177,10 +183,10 @@
 
 
 class TestLoads:
-    """Play loads and check what callers get."""
+    """Test placement under load."""
 
     def test_long_prompts_avoid_the_partition(self):
-        """In a mixed load no long prompt is read beside tight streams."""
+        """No engine gets both long prompts and tight streams."""
         made = broker()
         long_at, tight_at = set(), set()
         for number in range(120):
@@ -200,7 +206,7 @@
         assert not long_at & tight_at
 
     def test_prompts_of_tight_streams_are_paced(self):
-        """A burst of tight streams is not read in one step."""
+        """An engine does not prefill a burst of tight streams in one step."""
         made = broker()
         burst = [TicketOpened(tight(number)) for number in range(6)]
         assert len(grants(made.apply_all(burst, 0.0))) == 1
@@ -210,7 +216,7 @@
         assert waited == 5
 
     def test_upper_tier_bypasses_lower_tier_backlog(self):
-        """In a burst of drafts an upper tier does not wait for them."""
+        """An upper-tier prompt is placed at once during a burst of drafts."""
         made = broker()
         drafts = [TicketOpened(prompt(n, n)) for n in range(60)]
         first = grants(made.apply_all(drafts, 0.0))
@@ -220,7 +226,7 @@
         assert list(placed) == ['t-99']
 
     def test_partition_grows_to_engines_with_long_prompts(self):
-        """An engine that has read long prompts takes its share of a burst."""
+        """An engine that prefilled long prompts takes its share of a burst."""
         made = broker()
         for number in range(40):
             made.apply(TicketOpened(prompt(number, number)), number * 0.1)
@@ -240,7 +246,7 @@
         assert min(placed.values()) > 0.4 * placed.total()
 
     def test_short_prompts_leave_a_busy_home(self):
-        """A burst over one shared part is spread over the lane."""
+        """A burst with one shared part is spread over the partition."""
         made = broker((*SERVERS, *EXTRA_SERVERS))
         placed = []
         for number in range(8):
@@ -252,7 +258,7 @@
         assert len(set(placed)) == 2
 
     def test_lower_tier_load_counts_for_upper_tier(self):
-        """Drafts that an engine reads count for a review as well."""
+        """Unread prompts of a lower tier count for an upper tier as well."""
         made = broker()
         drafts = ServerLoad(1, 0, (0, 0, 20_000))
         loads = {view.name: drafts for view in SERVERS if view.name != 'e-3'}
@@ -264,7 +270,7 @@
         assert 'e-3' in placed[0].values()
 
     def test_upper_tier_backlog_is_bounded(self):
-        """Reviews in a burst are placed no further ahead than drafts."""
+        """The backlog limit applies to upper tiers as well."""
         made = broker()
         reviews = [
             TicketOpened(prompt(n, n, tier=1, target_s=0.8)) for n in range(60)
@@ -276,7 +282,7 @@
             assert backlog_s <= policy.backlog_s + 17_000 / PREFILL_TOKENS_PER_S
 
     def test_stalled_engines_get_no_tight_streams(self):
-        """What an engine has unread of their tier is bounded as well."""
+        """Tight streams wait while engines have too many unread tokens."""
         made = broker(SERVERS[:2])
         policy = AffinityPolicy()
         stuck = ServerLoad(40, 40, (policy.max_unread_tokens + 1,))
@@ -287,7 +293,7 @@
         assert not grants(made.apply(ClockTicked(), 1.0))
 
     def test_backlog_of_an_engine_is_bounded(self):
-        """What waits here keeps its order; an engine gets little ahead."""
+        """Prompts beyond the backlog limit wait in the broker, in order."""
         made = broker()
         drafts = [TicketOpened(prompt(n, n)) for n in range(200)]
         made.apply_all(drafts, 0.0)
@@ -298,17 +304,17 @@
 
     @pytest.mark.parametrize('lost', range(5))
     def test_any_server_may_be_lost(self, lost):
-        """With one server gone all kinds of requests are still placed."""
+        """Without any one server all kinds of requests are still placed."""
         made = broker(SERVERS[:lost] + SERVERS[lost + 1 :])
         both = [TicketOpened(tight(1)), TicketOpened(prompt(2, 2))]
         assert set(grants(made.apply_all(both, 0.0))) == {'t-1', 't-2'}
 
 
 class TestCacheMap:
-    """Test what is taken as cached."""
+    """Test which parts count as cached."""
 
     def test_part_counts_only_after_preceding_parts(self):
-        """A part counts only behind the parts before it."""
+        """A part counts as cached only if all parts before it are cached."""
         cache = CacheMap(MEMORY)
         first, second = PromptPiece(1, 100), PromptPiece(2, 50)
         cache.record('e', (second,))
@@ -318,7 +324,7 @@
         assert cache.cached_tokens('other', (first, second)) == 0
 
     def test_least_recently_used_parts_are_evicted(self):
-        """The memory of an engine bounds what is taken as cached."""
+        """Parts that exceed the cache capacity are evicted, oldest first."""
         cache = CacheMap(1000)
         pieces = [PromptPiece(key, 100) for key in range(8)]
         for piece in pieces:
@@ -327,5 +333,6 @@
         kept = [
             piece.key for piece in pieces if cache.cached_tokens('e', (piece,))
         ]
-        # A part of the memory is left to running requests.
+        # The cache holds 700 of the 1,000 tokens, the rest is for running
+        # requests.
         assert kept == [0, 2, 3, 4, 5, 6, 7]
--- a/tests/test_known_servers.py
+++ b/tests/test_known_servers.py
@@ -1,4 +1,4 @@
-"""Test which backend servers may be used around outages of the registry."""
+"""Test which backend servers are used around outages of the registry."""
 
 import pytest
 from hypothesis import strategies as st
@@ -15,34 +15,34 @@
 
 
 def view(name, *, leaving=False):
-    """Return an entry."""
+    """Return the entry of a server."""
     return ServerView(name, '10.0.0.1:80', 'lm', leaving=leaving)
 
 
 def names(known):
-    """Return the names of the servers in a book."""
+    """Return the names of the known servers."""
     return {server.name for server in known.views}
 
 
 def all_known():
-    """Return a book that knows all servers."""
+    """Return an instance that knows all servers."""
     known = KnownServers()
     known.apply_listing(map(view, NAMES), 0.0)
     return known
 
 
 class TestKnownServers:
-    """Test listings, changes and outages."""
+    """Test listings, changes and outages of the registry."""
 
     def test_removed_entry_is_dropped_at_once(self):
-        """Without an outage a missing entry means that the server left."""
+        """Without an outage a removed entry means that the server has left."""
         known = all_known()
         known.remove('i-1', 1.0)
         assert names(known) == {'i-2', 'i-3'}
 
     @pytest.mark.parametrize('outage_s', [MIN_OUTAGE_S, 9.0])
     def test_lapsed_entries_are_used_until_grace_period_ends(self, outage_s):
-        """After an outage a missing entry counts for about two seconds."""
+        """After an outage a server without an entry is used for a while."""
         known = all_known()
         known.mark_unreachable(1.0)
         back_s = 1.0 + outage_s
@@ -54,14 +54,14 @@
         assert names(known) == {'i-1', 'i-2'}
 
     def test_short_outage_has_no_grace_period(self):
-        """No entry lapses in a moment, so what is missing then has left."""
+        """Entries cannot expire that fast, so missing servers have left."""
         known = all_known()
         known.mark_unreachable(1.0)
         known.apply_listing([view('i-1')], 1.0 + MIN_OUTAGE_S / 2)
         assert names(known) == {'i-1'}
 
     def test_nothing_is_dropped_while_registry_is_unreachable(self):
-        """A second outage extends the time of what is missing."""
+        """A second outage extends the grace period of missing servers."""
         known = all_known()
         known.mark_unreachable(1.0)
         known.apply_listing([], 5.0)
@@ -70,7 +70,7 @@
         assert names(known) == set(NAMES)
 
     def test_leaving_is_applied_during_grace_period(self):
-        """A leaving entry is never taken for one that lapsed."""
+        """A leaving entry takes effect; it does not count as expired."""
         known = all_known()
         known.mark_unreachable(1.0)
         known.apply_listing([view('i-1', leaving=True)], 5.0)
@@ -78,7 +78,7 @@
 
 
 class KnownServersMachine(RuleBasedStateMachine):
-    """Compare a book with what the registry told last."""
+    """Compare the known servers with the last answers of the registry."""
 
     def __init__(self):
         super().__init__()
@@ -89,7 +89,7 @@
         self.outage_start_s = None
 
     def mark_reachable(self):
-        """Note that the registry answered."""
+        """Record that the registry answered."""
         outage_start_s, self.outage_start_s = self.outage_start_s, None
         if (
             outage_start_s is not None
@@ -128,12 +128,12 @@
 
     @invariant()
     def uses_listed_servers(self):
-        """All told servers are used."""
+        """All listed servers are known."""
         assert self.listed_names <= names(self.known)
 
     @invariant()
     def drops_unlisted_servers(self):
-        """Beyond them only during an outage and the time after it."""
+        """Other servers are known only until the grace period ends."""
         away = self.outage_start_s is not None
         if not away and self.now_s >= self.back_s + RECOVERY_GRACE_S:
             self.known.expire_missing(self.now_s)
--- a/tests/test_prefill.py
+++ b/tests/test_prefill.py
@@ -1,4 +1,4 @@
-"""Test the estimate of what an engine has yet to read."""
+"""Test the estimate of an engine's prefill backlog."""
 
 import pytest
 from hypothesis import given
@@ -21,21 +21,21 @@
 
 
 class TestPrefillSchedule:
-    """Test the reading ahead of a prompt."""
+    """Test the backlog ahead of a prompt."""
 
     @pytest.mark.parametrize(
         ('tier', 'backlog_s'),
         [(0, 0.0), (1, 0.2), (2, 0.2), (3, 0.6), (9, 0.6)],
     )
     def test_only_same_and_upper_tiers_count(self, tier, backlog_s):
-        """A prompt waits for those of its tier and of more urgent ones."""
+        """A prompt waits only for prompts of its own tier and those above."""
         schedule = PrefillSchedule()
         schedule.add(int(0.4 * PREFILL_TOKENS_PER_S), 3, 0.0)
         schedule.add(int(0.2 * PREFILL_TOKENS_PER_S), 1, 0.0)
         assert schedule.backlog_s(tier, 0.0) == pytest.approx(backlog_s)
 
     def test_backlog_shrinks_over_time(self):
-        """What was placed is read as time passes; idle time is not kept."""
+        """The backlog shrinks over time, and idle time earns no credit."""
         schedule = PrefillSchedule()
         schedule.add(PREFILL_TOKENS_PER_S, 1, 0.0)
         assert schedule.backlog_s(1, 0.4) == pytest.approx(0.6)
@@ -43,7 +43,7 @@
         assert schedule.backlog_s(1, 5.0) == pytest.approx(1.0)
 
     def test_paced_prefill_is_slower(self):
-        """Prompts that follow at an even pace leave time for tokens."""
+        """Paced prompts are estimated at the lower rate."""
         schedule = PrefillSchedule()
         schedule.add(PREFILL_TOKENS_PER_S, 0, 0.0)
         assert schedule.paced_backlog_s(0.0) == 0
@@ -52,7 +52,10 @@
 
     @given(PROMPTS)
     def test_upper_tier_waits_no_longer(self, prompts):
-        """No prompt waits longer than a less urgent one, nor less than none."""
+        """No prompt waits longer than one of a lower tier.
+
+        A wait is never negative, and at least the time of the last prompt.
+        """
         schedule = PrefillSchedule()
         now_s = 0.0
         for tokens, tier, passed_s in prompts:
--- a/tests/test_small_parts.py
+++ b/tests/test_small_parts.py
@@ -1,4 +1,4 @@
-"""Test the small pure parts, table by table."""
+"""Test small modules of pure logic."""
 
 import pytest
 from hypothesis import given
@@ -18,7 +18,7 @@
 
 
 class TestSlotLimit:
-    """Test how slots follow the token times."""
+    """Test how the limit follows the token times."""
 
     @pytest.mark.parametrize(
         ('token_s', 'demand', 'slots'),
@@ -29,7 +29,7 @@
         ],
     )
     def test_follows_token_time(self, token_s, demand, slots):
-        """Fast tokens open slots under load, slow ones close them."""
+        """Fast tokens raise the limit under load, slow ones lower it."""
         limit = SlotLimit(POLICY)
         for step in range(60):
             used = min(demand, limit.slots)
@@ -37,7 +37,10 @@
         assert limit.slots == slots
 
     def test_quiet_server_recovers_after_one_slow_token(self):
-        """A server that is fast again gets back the slots it began with."""
+        """A server that is fast again regains its initial limit.
+
+        It does so although it uses few of its slots.
+        """
         limit = SlotLimit(POLICY)
         limit.observe(0.2, 0.0, Sample(1, 1, 0.0))
         assert limit.slots == POLICY.minimum
@@ -46,7 +49,7 @@
         assert limit.slots == POLICY.start
 
     def test_grows_slowly_near_the_target_time(self):
-        """Close to the defended token time the limit feels its way."""
+        """The limit grows more slowly close to the target token time."""
         far, near = SlotLimit(POLICY), SlotLimit(POLICY)
         far.observe(0.015, 0.0, Sample(20, 8, 0.0))
         near.observe(0.039, 0.0, Sample(20, 8, 0.0))
@@ -54,7 +57,7 @@
 
     @given(st.lists(st.tuples(st.floats(0, 5), st.integers(0, 99))))
     def test_stays_within_bounds(self, seen):
-        """No observation moves the limit beyond its bounds."""
+        """No observation moves the limit outside its bounds."""
         limit = SlotLimit(POLICY)
         for step, (token_s, running) in enumerate(seen):
             limit.observe(token_s, 0.0, Sample(running, running, float(step)))
@@ -62,10 +65,10 @@
 
 
 class TestSwingReserve:
-    """Test the slots kept for upper tiers."""
+    """Test the slots reserved for upper tiers."""
 
     def test_follows_recent_swing(self):
-        """What was needed a moment ago is kept free, then given back."""
+        """The recent peak of demand stays reserved until its window ends."""
         reserve = SwingReserve()
         reserve.observe(10, 0.0)
         reserve.observe(2, 1.0)
@@ -74,7 +77,7 @@
         assert reserve.slots(2, 100, 1) == 1
 
     def test_never_more_than_half(self):
-        """A past crest does not lock the lower tiers out."""
+        """A past peak reserves at most half of the slots."""
         reserve = SwingReserve()
         reserve.observe(500, 0.0)
         assert reserve.slots(0, 40, 1) == 20
@@ -84,7 +87,7 @@
     """Test the expected wait."""
 
     def test_counts_tiers_above(self):
-        """A tier's wait follows from its own grants and those above."""
+        """The rate of a tier counts its own grants and those of tiers above."""
         rate = GrantRate()
         for step in range(50):
             rate.record(step % 2, step / 10)
@@ -92,25 +95,28 @@
         assert rate.wait_s(1, 25, 5.0) == pytest.approx(RATE_WINDOW_S / 2)
 
     def test_no_estimate_from_a_partial_window(self):
-        """The first grants after a start or a pause refuse nobody."""
+        """The first grants after a start or a pause give no estimate.
+
+        Their rate would be wrong, and tickets would be refused for it.
+        """
         rate = GrantRate()
         for step in range(15):
             rate.record(0, 100 + step / 30)
         assert rate.wait_s(0, 110, 100.5) == 0
 
     def test_no_estimate_from_few_grants(self):
-        """Without enough grants nobody is refused."""
+        """Too few grants give no estimate, so no ticket is refused."""
         rate = GrantRate()
         rate.record(0, 0.0)
         assert rate.wait_s(0, 1000, 1.0) == 0
 
 
 class TestRendezvous:
-    """Test the choice of instances."""
+    """Test rendezvous hashing."""
 
     @given(st.sets(st.text(min_size=1, max_size=4), min_size=2, max_size=9))
     def test_removal_moves_only_keys_of_removed_name(self, names):
-        """Other groups keep their broker when an instance dies."""
+        """Only keys of a removed name move to another name."""
         groups = [f'g{number}' for number in range(20)]
         before = {group: holder(group, names) for group in groups}
         gone = min(names)
@@ -121,11 +127,11 @@
 
 
 class TestRetryBudget:
-    """Test the bound on retries."""
+    """Test the limit on retries."""
 
     @given(st.lists(st.booleans()), st.floats(0, 1))
     def test_never_exceeded(self, steps, fraction):
-        """Retries never pass the burst and the fraction of traffic."""
+        """Retries never exceed the burst plus the fraction of requests."""
         budget = RetryBudget()
         earned = spent = 0
         for is_request in steps:
@@ -138,11 +144,11 @@
 
 
 class TestVersionBook:
-    """Test that versions never go down."""
+    """Test that the version number never decreases."""
 
     @given(st.lists(st.integers(1, 20)))
     def test_only_rises(self, numbers):
-        """Whatever the store or a peer offers, the number only rises."""
+        """An offered version is adopted only if its number is higher."""
         book = VersionBook()
         tree = Tree(Root('x'), {})
         highest = 0
@@ -154,10 +160,10 @@
 
 
 class TestKeys:
-    """Test callers' keys."""
+    """Test the look-up of callers' keys."""
 
     def test_key_finds_its_workspace_only(self):
-        """A key belongs to one workspace, and the tree does not hold it."""
+        """A key belongs to one workspace and is not stored in the tree."""
         key, entry = make_key('counter')
         other_key, other = make_key()
         tree = Tree(
