--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -15,8 +15,8 @@
   stream (``Ticket.is_tight``) has a strict limit on the pause between tokens,
   and the prefill of another prompt makes its pauses longer.
 
-To keep the latter apart, some of the servers form a partition for tight
-streams, whose size follows the number of these streams.
+Some of the servers form a partition for tight streams, whose size follows the
+number of these streams. Long prompts are placed outside of it if possible.
 
 A prompt part that is cached on another server costs more than its prefill
 takes, because each engine has memory for only some of the shared parts.
@@ -49,7 +49,7 @@
         because an engine finishes the prefill chunk that it has begun, and the
         pauses of its streams grow.
     :param duplicate_prefill_factor: weight of tokens that another server has
-        cached. With 3, half again as many requests were diverted from it,
+        cached. With 3, half again as many requests were diverted from it;
         see docs/design/platform.md.
     :param non_home_tokens: additional cost of a server that is not the home of
         the prompt's last shared part. It decides between otherwise equal
@@ -120,8 +120,8 @@
         """Return the cheapest server, or ``None`` if the ticket should wait.
 
         A server that has just failed for this ticket is used only if no other
-        server is free. Tickets without prompt parts are placed by
-        load and failure rate only.
+        server is free. Tickets without prompt parts are placed by load and
+        failure rate only.
         """
         free = table.open_servers()
         preferred = [one for one in free if one.view.name != ticket.avoid]
@@ -210,7 +210,8 @@
     def _rank(self, names: Iterable[str]) -> tuple[str, ...]:
         """Return the order in which servers join the partition.
 
-        It is the same on all instances, and cached while the names stay.
+        It is the same on all instances. The result is cached until the set of
+        names changes.
         """
         given = frozenset(names)
         if given != self._ranked_names:
@@ -290,7 +291,8 @@
             return policy.non_home_tokens
         shared = sum(piece.tokens for piece in self._ticket.pieces[:-1])
         return min(
-            policy.non_home_tokens, shared * policy.tight_non_home_factor
+            policy.non_home_tokens,
+            shared * policy.tight_non_home_factor,
         )
 
     def _partition_cost(self, server: Server) -> float:
--- a/src/siskinpass/process/limits.py
+++ b/src/siskinpass/process/limits.py
@@ -75,7 +75,10 @@
         return self._first_token_s
 
     def observe(
-        self, token_s: float, first_token_s: float, sample: Sample
+        self,
+        token_s: float,
+        first_token_s: float,
+        sample: Sample,
     ) -> None:
         """Update the speed, and the limit if ``token_s`` is known.
 
--- a/src/siskinpass/process/placement.py
+++ b/src/siskinpass/process/placement.py
@@ -95,7 +95,11 @@
             self.prefill.add_paced(unread, now_s)
 
     def update_failure_rate(self, now_s: float, *, is_failure: bool) -> None:
-        """Update the moving average of failed requests with one outcome."""
+        """Update the exponentially weighted failure rate with one outcome.
+
+        :param is_failure: whether the request failed or was answered with an
+            error.
+        """
         known = self.failure_rate_at(now_s)
         self.failure_rate = known + FAILURE_RATE_SMOOTHING * (
             is_failure - known
@@ -114,9 +118,10 @@
         return self.failure_rate * math.exp(-passed_s / FAILURE_RATE_DECAY_S)
 
     def update_ejection(self, now_s: float, *, failed: bool) -> None:
-        """Eject the server after a failure, with exponential backoff.
+        """Eject the server after ``probe_after`` failures in a row.
 
-        A request that did not fail resets the count of failures.
+        Each further failure doubles the time of the ejection, and a request
+        that did not fail resets the count of failures.
         """
         if not failed:
             self.failures = 0
@@ -136,7 +141,7 @@
             self.failures = 0
 
     def free_slots(self, now_s: float) -> int:
-        """Return how many more requests it may get; it may be negative."""
+        """Return the free slots, below 0 while more than allowed are in use."""
         if self.view.leaving or now_s < self.ejected_until_s:
             return 0
         if self.failures >= self.probe_after:
@@ -269,9 +274,10 @@
     def mark_slow(self, now_s: float) -> None:
         """Mark the servers whose token time is far above the median.
 
-        The slowest ones are marked first, at most ``SLOW_FRACTION`` of the
-        servers with a known token time, but always one of them. A server
-        without recent observations is not marked.
+        At most ``SLOW_FRACTION`` of the servers with a known token time are
+        marked, but at least one may be; the slowest ones go first. A server
+        without recent observations is not marked. Nothing changes while fewer
+        than two servers have a known token time.
         """
         speeds = {
             name: server.limit.token_s
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -149,7 +149,7 @@
     def test_failure_rate_decays_without_requests(self):
         """The failure rate of a server without requests decays.
 
-        Otherwise such a server would never get a request again.
+        Otherwise it would still be avoided after it has recovered.
         """
         made = broker()
         for number in range(10):
@@ -178,7 +178,8 @@
         )
         made.apply(ServersListed(restarted), 1.0)
         assert not made.table.cache.cached_tokens(
-            'e-3', [PromptPiece(5, 13_300)]
+            'e-3',
+            [PromptPiece(5, 13_300)],
         )
 
 
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -257,7 +257,8 @@
     def test_slow_server_gets_less(self):
         """A server with slow tokens is set aside but for one probe."""
         made = broker(
-            servers=3, limit=LimitPolicy(start=4, minimum=2, maximum=4)
+            servers=3,
+            limit=LimitPolicy(start=4, minimum=2, maximum=4),
         )
         for _ in range(8):
             made.apply(TokensObserved('server-0', 0.2), 1.0)
@@ -278,7 +279,8 @@
     def test_stream_leaves_a_slow_server(self):
         """A stream whose token target is lost goes on elsewhere."""
         made = broker(
-            servers=2, limit=LimitPolicy(start=4, minimum=2, maximum=4)
+            servers=2,
+            limit=LimitPolicy(start=4, minimum=2, maximum=4),
         )
         fast = ticket('fast', token_s=0.06)
         patient = ticket('patient', 5, token_s=0.9)
