--- a/src/siskinpass/process/placement.py
+++ b/src/siskinpass/process/placement.py
@@ -120,8 +120,8 @@
     def update_ejection(self, now_s: float, *, failed: bool) -> None:
         """Eject the server after ``probe_after`` failures in a row.
 
-        Each further failure doubles the time of the ejection, and a request
-        that did not fail resets the count of failures.
+        Each further failure doubles the time of the ejection, up to
+        ``MAX_COUNTED_FAILURES``. A request that did not fail resets the count.
         """
         if not failed:
             self.failures = 0
