--- a/src/siskinpass/process/cache_map.py
+++ b/src/siskinpass/process/cache_map.py
@@ -1,8 +1,9 @@
-"""Know which prompt parts each backend server has probably cached.
+"""Estimate which prompt parts each backend server has cached.
 
-Pure logic. What was placed on a server is taken as cached there until the
-least recently used parts exceed what its memory keeps. An engine finds a part
-only if it has all parts before it, so parts are followed as chains.
+Pure logic. A part that was placed on a server counts as cached there until it
+is evicted as the least recently used one. An engine can reuse a part only if it
+has all parts before it, so only an unbroken run of parts from the start of a
+prompt counts.
 """
 
 from collections import OrderedDict
@@ -10,28 +11,29 @@
 
 from siskinpass.request.ticket import PromptPiece
 
-# Running requests take their share of an engine's memory; the rest caches.
-CACHED_PART = 0.7
+# Fraction of an engine's memory that holds cached parts; running requests use
+# the rest.
+CACHE_FRACTION = 0.7
 
 
 class ServerCache:
-    """Follow the parts on one server."""
+    """Prompt parts that one server probably has cached."""
 
     def __init__(self, memory_tokens: int) -> None:
-        """Start empty.
+        """Initialize an empty cache.
 
-        :param memory_tokens: tokens that the engine's memory holds.
+        :param memory_tokens: KV cache capacity of the engine in tokens.
         """
         self._parts: OrderedDict[int, int] = OrderedDict()
         self._tokens = 0
         self.resize(memory_tokens)
 
     def resize(self, memory_tokens: int) -> None:
-        """Take in another size of the engine's memory."""
-        self._most = memory_tokens * CACHED_PART
-        self._drop_oldest()
+        """Set the engine's memory size and evict parts that do not fit."""
+        self._capacity_tokens = memory_tokens * CACHE_FRACTION
+        self._evict_oldest()
 
-    def cached(self, pieces: Sequence[PromptPiece]) -> int:
+    def cached_tokens(self, pieces: Sequence[PromptPiece]) -> int:
         """Return how many tokens at the start of a prompt are cached."""
         total = 0
         for piece in pieces:
@@ -40,53 +42,56 @@
             total += piece.tokens
         return total
 
-    def note(self, pieces: Iterable[PromptPiece]) -> None:
-        """Note a prompt that was placed here."""
+    def record(self, pieces: Iterable[PromptPiece]) -> None:
+        """Record the parts of a prompt as the most recently used ones."""
         for piece in pieces:
             if piece.key in self._parts:
                 self._parts.move_to_end(piece.key)
             else:
                 self._parts[piece.key] = piece.tokens
                 self._tokens += piece.tokens
-        self._drop_oldest()
+        self._evict_oldest()
 
-    def _drop_oldest(self) -> None:
-        while self._tokens > self._most and self._parts:
+    def _evict_oldest(self) -> None:
+        while self._tokens > self._capacity_tokens and self._parts:
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
 
 class CacheMap:
-    """Follow the parts on all servers of a group."""
+    """Prompt parts that the servers of a group probably have cached."""
 
     def __init__(self, memory_tokens: int) -> None:
-        """Start with nothing cached.
+        """Initialize a map without servers.
 
-        :param memory_tokens: tokens that the memory of each engine holds.
+        :param memory_tokens: KV cache capacity of each engine in tokens.
         """
         self._memory_tokens = memory_tokens
         self._caches: dict[str, ServerCache] = {}
 
-    def cached(self, server: str, pieces: Sequence[PromptPiece]) -> int:
-        """Return how many tokens of a prompt a server need not read."""
+    def cached_tokens(self, server: str, pieces: Sequence[PromptPiece]) -> int:
+        """Return how many tokens of a prompt a server need not prefill.
+
+        It is 0 for an unknown server.
+        """
         cache = self._caches.get(server)
-        return cache.cached(pieces) if cache else 0
+        return cache.cached_tokens(pieces) if cache else 0
 
-    def note(self, server: str, pieces: Iterable[PromptPiece]) -> None:
-        """Note a prompt that was placed on a server."""
+    def record(self, server: str, pieces: Iterable[PromptPiece]) -> None:
+        """Record the parts of a prompt that was placed on a server."""
         cache = self._caches.get(server)
         if cache is None:
             cache = ServerCache(self._memory_tokens)
             self._caches[server] = cache
-        cache.note(pieces)
+        cache.record(pieces)
 
     def resize(self, memory_tokens: int) -> None:
-        """Take in another size of the engines' memory."""
+        """Set the memory size of all engines."""
         if memory_tokens != self._memory_tokens:
             self._memory_tokens = memory_tokens
             for cache in self._caches.values():
                 cache.resize(memory_tokens)
 
-    def forget(self, server: str) -> None:
-        """Forget a server that ended or started anew."""
+    def remove_server(self, server: str) -> None:
+        """Drop the cache of a server that has ended or restarted."""
         self._caches.pop(server, None)
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -65,13 +65,13 @@
         """
         name = server.view.name
         cache = self._table.cache
-        unread = ticket.tokens_in - cache.cached(name, ticket.pieces)
-        cache.note(name, ticket.pieces)
+        unread = ticket.tokens_in - cache.cached_tokens(name, ticket.pieces)
+        cache.record(name, ticket.pieces)
         grant = ActiveGrant(ticket, name, protected=is_protected, unread=unread)
         self._running[ticket.ticket_id] = grant
         server.add(grant.load)
-        server.expect_reading(unread, ticket, now_s)
-        self._table.remember(ticket.prefix, name)
+        server.schedule_prefill(unread, ticket, now_s)
+        self._table.record_prefix(ticket.prefix, name)
         return unread
 
     def add_reported(self, event: GrantReported) -> None:
@@ -96,9 +96,9 @@
         server = self._table.find(grant.server)
         if server is not None:
             server.add(-grant.load)
-            in_trouble = event.failed or event.erred
-            server.note_outcome(now_s, in_trouble=in_trouble)
-            server.note_end(now_s, failed=event.failed)
+            is_failure = event.failed or event.erred
+            server.update_failure_rate(now_s, is_failure=is_failure)
+            server.update_ejection(now_s, failed=event.failed)
         return grant.ticket
 
     def apply(self, event: LoadEvent, now_s: float) -> None:
@@ -118,25 +118,25 @@
         if server is not None:
             read = unread_by_tier(grant.ticket, grant.unread)
             server.add(-ServerLoad(unread=read))
-            server.note_progress(now_s)
+            server.clear_failures(now_s)
         grant.unread = 0
 
     @_handle_event.register
     def _handle_placed(self, event: PromptPlaced, now_s: float) -> None:
-        self._table.cache.note(event.server, event.pieces)
+        self._table.cache.record(event.server, event.pieces)
         server = self._table.find(event.server)
         if server is not None:
-            server.expect_reading(event.unread, event, now_s)
+            server.schedule_prefill(event.unread, event, now_s)
 
     @_handle_event.register
     def _handle_peer_loads(self, event: PeerLoadsTold, now_s: float) -> None:
-        self._table.take_peer_loads(event.loads)
+        self._table.set_peer_loads(event.loads)
 
     @_handle_event.register
     def _handle_tokens(self, event: TokensObserved, now_s: float) -> None:
         server = self._table.find(event.server)
         if server is not None:
-            server.note_progress(now_s)
+            server.clear_failures(now_s)
             server.limit.observe(
                 event.token_s,
                 event.first_s,
--- a/src/siskinpass/process/limits.py
+++ b/src/siskinpass/process/limits.py
@@ -1,6 +1,7 @@
-"""Adapt the slots of one backend server to the token times it shows.
+"""Adapt the slots of one backend server to its observed token times.
 
-Pure logic: observations and a clock go in, a limit comes out.
+Pure logic: the input is observations and a clock, the output is a limit. The
+limit grows while tokens are fast and is cut by a factor once they are slow.
 """
 
 from dataclasses import dataclass
@@ -8,37 +9,38 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitPolicy:
-    """Bound the slots of a backend server.
+    """Bounds and target of the slots of a backend server.
 
-    :param start: slots before anything was observed.
-    :param least: slots that are always left.
-    :param most: slots that are never exceeded.
-    :param token_s: token time that the limit defends, in seconds.
+    :param start: slots before the first observation.
+    :param minimum: slots below which the limit never falls.
+    :param maximum: slots above which the limit never rises.
+    :param token_s: target of the mean time between tokens, in seconds.
     """
 
     start: int = 8
-    least: int = 2
-    most: int = 64
+    minimum: int = 2
+    maximum: int = 64
     token_s: float = 0.04
 
 
 SMOOTHING = 0.35
-DECREASE = 0.85
-DECREASE_EVERY_S = 0.5
+DECREASE_FACTOR = 0.85
+DECREASE_INTERVAL_S = 0.5
 TOLERANCE = 1.15
-FAR_BELOW = 0.7
-FAR_GROWTH = 0.25  # slots for each token seen
-NEAR_GROWTH = 0.15
+FAST_GROWTH_BELOW = 0.7
+FAST_GROWTH = 0.25  # slots for each observed token
+SLOW_GROWTH = 0.15
 BUSY_FRACTION = 0.75
-SLOW_DECAY_S = 3.0
+STALE_AFTER_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Describe when and on what an observation was made.
+    """Context of one observation.
 
-    :param tokens: tokens that it is made of.
-    :param running: slots in use when it was made.
+    :param tokens: number of tokens observed.
+    :param running: slots in use at the time.
+    :param now_s: time of the observation.
     """
 
     tokens: int
@@ -47,15 +49,14 @@
 
 
 class SlotLimit:
-    """Track the limit and the speed of one backend server."""
+    """Concurrency limit and measured speed of one backend server."""
 
     def __init__(self, policy: LimitPolicy) -> None:
-        """Start from the policy's first limit."""
         self._policy = policy
         self._limit = float(policy.start)
         self._token_s = 0.0
-        self._first_s = 0.0
-        self._seen_s = float('-inf')
+        self._first_token_s = 0.0
+        self._observed_s = float('-inf')
         self._decreased_s = float('-inf')
 
     @property
@@ -65,57 +66,62 @@
 
     @property
     def token_s(self) -> float:
-        """Return the smoothed token time, 0 before the first token."""
+        """Return the smoothed time between tokens, 0 before any was seen."""
         return self._token_s
 
     @property
-    def first_s(self) -> float:
-        """Return the smoothed time to the first token."""
-        return self._first_s
-
-    def observe(self, token_s: float, first_s: float, sample: Sample) -> None:
-        """Take in one observation.
-
-        :param token_s: mean time between tokens, 0 where none was seen.
-        :param first_s: time to the first token, 0 where none was seen.
+    def first_token_s(self) -> float:
+        """Return the smoothed time to first token, 0 before any was seen."""
+        return self._first_token_s
+
+    def observe(
+        self,
+        token_s: float,
+        first_token_s: float,
+        sample: Sample,
+    ) -> None:
+        """Update the speed, and the limit if ``token_s`` is known.
+
+        :param token_s: mean time between tokens in seconds, 0 if unknown.
+        :param first_token_s: time to first token in seconds, 0 if unknown.
         """
-        self._seen_s = sample.now_s
-        if first_s > 0:
-            self._first_s = _smooth(self._first_s, first_s)
+        self._observed_s = sample.now_s
+        if first_token_s > 0:
+            self._first_token_s = _smooth(self._first_token_s, first_token_s)
         if token_s > 0:
             self._token_s = _smooth(self._token_s, token_s)
             self._adapt(sample)
 
     def is_stale(self, now_s: float) -> bool:
-        """Tell whether the speed is too old to be believed."""
-        return now_s - self._seen_s > SLOW_DECAY_S
+        """Return whether the last observation is too old to rely on."""
+        return now_s - self._observed_s > STALE_AFTER_S
 
     def _adapt(self, sample: Sample) -> None:
         policy = self._policy
         if self._token_s > policy.token_s * TOLERANCE:
             self._shrink(sample)
         elif self._may_grow(sample):
-            # Far below the defended time the limit follows a burst at once.
-            far = self._token_s < policy.token_s * FAR_BELOW
-            growth = FAR_GROWTH if far else NEAR_GROWTH / self._limit
+            # Far below the target the limit has to follow a burst at once.
+            is_far_below = self._token_s < policy.token_s * FAST_GROWTH_BELOW
+            growth = FAST_GROWTH if is_far_below else SLOW_GROWTH / self._limit
             grown = self._limit + sample.tokens * growth
-            self._limit = min(float(policy.most), grown)
+            self._limit = min(float(policy.maximum), grown)
 
     def _may_grow(self, sample: Sample) -> bool:
-        """Tell whether the limit is in use, or below where it began.
+        """Return whether most slots are in use or the limit is below its start.
 
-        Below that, a reserve for upper tiers can keep the limit from ever being
-        in use.
+        Below its start the limit may grow unused: slots reserved for upper
+        tiers could otherwise keep it from ever being in use.
         """
         is_busy = sample.running >= self._limit * BUSY_FRACTION
         return is_busy or self._limit < self._policy.start
 
     def _shrink(self, sample: Sample) -> None:
-        if sample.now_s - self._decreased_s < DECREASE_EVERY_S:
+        if sample.now_s - self._decreased_s < DECREASE_INTERVAL_S:
             return
         self._decreased_s = sample.now_s
-        shrunk = min(self._limit, sample.running) * DECREASE
-        self._limit = max(float(self._policy.least), shrunk)
+        shrunk = min(self._limit, sample.running) * DECREASE_FACTOR
+        self._limit = max(float(self._policy.minimum), shrunk)
 
 
 def _smooth(old: float, new: float) -> float:
--- a/src/siskinpass/process/placement.py
+++ b/src/siskinpass/process/placement.py
@@ -1,7 +1,8 @@
 """Choose the backend server for a granted ticket.
 
-Pure logic. Own observations decide; a server much slower than the median
-of its group gets little, and at most a fraction of the group is set aside.
+Pure logic, based on the broker's own observations. A server that is much
+slower than the median of its group keeps a single slot. At most a fraction of
+the group is marked slow at a time.
 """
 
 import hashlib
@@ -13,7 +14,7 @@
 
 from siskinpass.process.cache_map import CacheMap
 from siskinpass.process.limits import LimitPolicy, SlotLimit
-from siskinpass.process.reading import ReadingPlan
+from siskinpass.process.prefill import PrefillSchedule
 from siskinpass.request.ticket import (
     PromptPlaced,
     ServerLoad,
@@ -24,23 +25,34 @@
 SLOW_RATIO = 2.0
 SLOW_FRACTION = 0.34
 SLOW_SLOTS = 1
-SHUN_S = 0.25
-FAILURES_COUNTED = 5
-PREFIXES_KEPT = 4096
+EJECTION_S = 0.25
+MAX_COUNTED_FAILURES = 5
+MAX_PREFIXES = 4096
 AFFINITY_SLOTS = 2
-AVOIDED_PENALTY = 4.0
+PENALTY_FACTOR = 4.0
 NO_LOAD = ServerLoad()
-TROUBLE_SMOOTHING = 0.1  # about the last ten outcomes
-# A server is tried again after about as long as the operator takes a calm
-# machine to be in touch.
-TROUBLE_HOLD_S = 3.0
+FAILURE_RATE_SMOOTHING = 0.1  # averages about the last ten outcomes
+# Equals the default of the operator's contact-ms, the time without faults after
+# which an instance counts as connected: a failed server is retried after about
+# as long.
+FAILURE_RATE_DECAY_S = 3.0
 
 
 @dataclass(slots=True)
 class Server:
-    """Hold what the broker knows of one backend server.
-
-    :param load: what all instances run on it, ``own`` and ``peers``.
+    """State of one backend server as known to the broker.
+
+    :param running: requests that this broker has granted on it.
+    :param slow: whether its token time is far above the group's median.
+    :param failures: failed requests in a row, at most
+        ``MAX_COUNTED_FAILURES``.
+    :param ejected_until_s: time until which it gets no requests.
+    :param own: load that this instance has placed on it.
+    :param peers: load that the other instances have placed on it.
+    :param load: sum of ``own`` and ``peers``.
+    :param failure_rate: moving average at the time of the last outcome.
+    :param probe_after: failures in a row after which it gets one request at a
+        time.
     """
 
     view: ServerView
@@ -48,77 +60,96 @@
     running: int = 0
     slow: bool = False
     failures: int = 0
-    shunned_until_s: float = 0.0
+    ejected_until_s: float = 0.0
     own: ServerLoad = NO_LOAD
     peers: ServerLoad = NO_LOAD
     load: ServerLoad = NO_LOAD
-    reading: ReadingPlan = field(default_factory=ReadingPlan)
-    trouble: float = 0.0
-    outcome_s: float = 0.0
+    prefill: PrefillSchedule = field(default_factory=PrefillSchedule)
+    failure_rate: float = 0.0
+    last_outcome_s: float = 0.0
     probe_after: int = 1
 
     def add(self, step: ServerLoad) -> None:
-        """Count a step of this instance's load, negative for what ended."""
+        """Add to this instance's load; a negative step removes load."""
         self.running += step.running
         self.own += step
         self.load = self.own + self.peers
 
-    def take_peers(self, peers: ServerLoad) -> None:
-        """Take what the other instances run on it."""
+    def set_peer_load(self, peers: ServerLoad) -> None:
+        """Replace the load of the other instances."""
         self.peers = peers
         self.load = self.own + peers
 
-    def expect_reading(
+    def schedule_prefill(
         self,
         unread: int,
         prompt: Ticket | PromptPlaced,
         now_s: float,
     ) -> None:
-        """Count the reading of a placed prompt."""
-        self.reading.add(unread, prompt.tier, now_s)
+        """Add a placed prompt to the estimated prefill backlog.
+
+        :param unread: prompt tokens that the server does not have cached.
+        """
+        self.prefill.add(unread, prompt.tier, now_s)
         if prompt.is_tight:
-            self.reading.add_paced(unread, now_s)
+            self.prefill.add_paced(unread, now_s)
 
-    def note_outcome(self, now_s: float, *, in_trouble: bool) -> None:
-        """Follow the part of requests that failed here."""
-        known = self.trouble_at(now_s)
-        self.trouble = known + TROUBLE_SMOOTHING * (in_trouble - known)
-        self.outcome_s = now_s
+    def update_failure_rate(self, now_s: float, *, is_failure: bool) -> None:
+        """Update the exponentially weighted failure rate with one outcome.
+
+        :param is_failure: whether the request failed or was answered with an
+            error.
+        """
+        known = self.failure_rate_at(now_s)
+        self.failure_rate = known + FAILURE_RATE_SMOOTHING * (
+            is_failure - known
+        )
+        self.last_outcome_s = now_s
 
-    def trouble_at(self, now_s: float) -> float:
-        """Return the part of requests that failed, less as time passes.
+    def failure_rate_at(self, now_s: float) -> float:
+        """Return the failure rate, decayed since the last outcome.
 
-        A server that gets nothing would otherwise stay in trouble.
+        Without the decay a server that gets no requests would keep its failure
+        rate for ever.
+
+        :returns: 0 to 1.
         """
-        passed_s = max(0.0, now_s - self.outcome_s)
-        return self.trouble * math.exp(-passed_s / TROUBLE_HOLD_S)
+        passed_s = max(0.0, now_s - self.last_outcome_s)
+        return self.failure_rate * math.exp(-passed_s / FAILURE_RATE_DECAY_S)
+
+    def update_ejection(self, now_s: float, *, failed: bool) -> None:
+        """Eject the server after ``probe_after`` failures in a row.
 
-    def note_end(self, now_s: float, *, failed: bool) -> None:
-        """Shun a server that failed, longer with each failure in a row."""
+        Each further failure doubles the time of the ejection, up to
+        ``MAX_COUNTED_FAILURES``. A request that did not fail resets the count.
+        """
         if not failed:
             self.failures = 0
             return
-        self.failures = min(self.failures + 1, FAILURES_COUNTED)
+        self.failures = min(self.failures + 1, MAX_COUNTED_FAILURES)
         if self.failures < self.probe_after:
             return
-        shun_s = SHUN_S * 2 ** (self.failures - 1)
-        self.shunned_until_s = now_s + shun_s
+        ejection_s = EJECTION_S * 2 ** (self.failures - 1)
+        self.ejected_until_s = now_s + ejection_s
 
-    def note_progress(self, now_s: float) -> None:
-        """Trust a server again once it brings tokens after its failures."""
-        if now_s >= self.shunned_until_s:
+    def clear_failures(self, now_s: float) -> None:
+        """Reset the count of failures, as the server delivers tokens.
+
+        Does nothing while the server is ejected.
+        """
+        if now_s >= self.ejected_until_s:
             self.failures = 0
 
     def free_slots(self, now_s: float) -> int:
-        """Return how many more requests it may get."""
-        if self.view.leaving or now_s < self.shunned_until_s:
+        """Return the free slots, below 0 while more than allowed are in use."""
+        if self.view.leaving or now_s < self.ejected_until_s:
             return 0
         if self.failures >= self.probe_after:
-            # One request at a time probes a server that has failed.
+            # Probe a server that has failed with one request at a time.
             return 1 - self.running
         slots = self.limit.slots
         if self.slow:
-            # A slow server keeps one slot, whose tokens probe its recovery.
+            # The tokens of the remaining slot show whether it has recovered.
             slots = min(slots, SLOW_SLOTS)
         return slots - self.running
 
@@ -127,7 +158,7 @@
 
 
 class ServerTable:
-    """Own the backend servers of one group."""
+    """The backend servers of one group and the choice between them."""
 
     def __init__(
         self,
@@ -138,12 +169,14 @@
         memory_tokens: int = 0,
         probe_after: int = 1,
     ) -> None:
-        """Start without servers.
-
-        :param at_random: place without regard to load and speed.
-        :param chooser: chooses among the servers with a free slot, in place
-            of the cost by slots and speed.
-        :param memory_tokens: tokens that each engine's memory holds.
+        """Initialize a table without servers.
+
+        :param policy: bounds of the slots of each server.
+        :param at_random: choose any server with a free slot, regardless of
+            load and speed.
+        :param chooser: chooses among the servers with a free slot; replaces
+            the cost by slots and token time.
+        :param memory_tokens: KV cache capacity of each engine in tokens.
         :param probe_after: failures in a row after which a server gets one
             request at a time.
         """
@@ -158,12 +191,12 @@
 
     @property
     def servers(self) -> Iterable[Server]:
-        """Return the servers in a stable order."""
+        """Return the servers in the order in which they were first listed."""
         return self._servers.values()
 
     @property
     def slots(self) -> int:
-        """Return the slots of all servers that take new requests."""
+        """Return the total slots of the servers that are not leaving."""
         return sum(
             server.limit.slots
             for server in self._servers.values()
@@ -171,33 +204,41 @@
         )
 
     @property
-    def first_s(self) -> float:
-        """Return the mean time to a first token, 0 where none was seen."""
-        seen = [
-            server.limit.first_s
+    def first_token_s(self) -> float:
+        """Return the mean time to first token of the servers not marked slow.
+
+        :returns: seconds, 0 before any observation.
+        """
+        times = [
+            server.limit.first_token_s
             for server in self._servers.values()
-            if server.limit.first_s > 0 and not server.slow
+            if server.limit.first_token_s > 0 and not server.slow
         ]
-        return sum(seen) / len(seen) if seen else 0.0
+        return sum(times) / len(times) if times else 0.0
 
     def free_slots(self, now_s: float) -> int:
-        """Return the slots that can be granted now."""
+        """Return the total number of slots that can be granted now."""
         return sum(
             max(0, server.free_slots(now_s))
             for server in self._servers.values()
         )
 
     def find(self, name: str) -> Server | None:
-        """Return a server by its name."""
+        """Return a server by its name, or ``None`` if it is not known."""
         return self._servers.get(name)
 
     def replace(self, views: Iterable[ServerView]) -> None:
-        """Take the listed servers; a known one keeps its history."""
+        """Replace the list of servers.
+
+        A known server keeps its observations, but a new incarnation of it
+        starts with an empty cache. A server that is no longer listed is
+        removed, or marked as leaving while it still runs requests.
+        """
         listed = {view.name: view for view in views}
         for name, view in sorted(listed.items()):
             known = self._servers.get(name)
             if known is None or known.view.incarnation != view.incarnation:
-                self.cache.forget(name)
+                self.cache.remove_server(name)
             if known is None:
                 self._servers[name] = Server(
                     view,
@@ -206,29 +247,38 @@
                 )
             else:
                 known.view = view
-        for gone in self._servers.keys() - listed.keys():
-            server = self._servers[gone]
+        for removed in self._servers.keys() - listed.keys():
+            server = self._servers[removed]
             if server.running:
                 _mark_leaving(server)
             else:
-                self._servers.pop(gone)
-                self.cache.forget(gone)
+                self._servers.pop(removed)
+                self.cache.remove_server(removed)
 
     def open_servers(self) -> list[Server]:
-        """Return the servers that may get a request now."""
+        """Return the servers that had a free slot at ``now_s``."""
         return [
             server
             for server in self._servers.values()
             if server.free_slots(self.now_s) > 0
         ]
 
-    def take_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
-        """Take what the other instances run on each server."""
+    def set_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
+        """Replace the loads of the other instances.
+
+        :param loads: by server name; servers left out have no load.
+        """
         for name, server in self._servers.items():
-            server.take_peers(loads.get(name, NO_LOAD))
+            server.set_peer_load(loads.get(name, NO_LOAD))
 
     def mark_slow(self, now_s: float) -> None:
-        """Set aside the servers that are much slower than the median."""
+        """Mark the servers whose token time is far above the median.
+
+        At most ``SLOW_FRACTION`` of the servers with a known token time are
+        marked, but at least one may be; the slowest ones go first. A server
+        without recent observations is not marked. Nothing changes while fewer
+        than two servers have a known token time.
+        """
         speeds = {
             name: server.limit.token_s
             for name, server in self._servers.items()
@@ -236,18 +286,18 @@
         }
         if len(speeds) < 2:
             return
-        bound = SLOW_RATIO * statistics.median_low(speeds.values())
-        suspects = sorted(
-            (name for name in speeds if speeds[name] > bound),
+        threshold = SLOW_RATIO * statistics.median_low(speeds.values())
+        candidates = sorted(
+            (name for name in speeds if speeds[name] > threshold),
             key=speeds.__getitem__,
             reverse=True,
         )
-        aside = suspects[: max(1, int(len(speeds) * SLOW_FRACTION))]
+        outliers = candidates[: max(1, int(len(speeds) * SLOW_FRACTION))]
         for name, server in self._servers.items():
-            server.slow = name in aside and not server.limit.is_stale(now_s)
+            server.slow = name in outliers and not server.limit.is_stale(now_s)
 
     def choose(self, ticket: Ticket, now_s: float) -> Server | None:
-        """Return the best server with a free slot, or none."""
+        """Return the best server with a free slot, or ``None``."""
         self.now_s = now_s
         if self._chooser is not None:
             return self._chooser(self, ticket)
@@ -258,20 +308,24 @@
             if server.free_slots(now_s) <= 0:
                 continue
             if self._at_random:
-                cost = _chance(ticket, server)
+                cost = _random_cost(ticket, server)
             else:
                 cost = _cost(server, ticket, holder)
             if cost < best_cost:
                 best, best_cost = server, cost
         return best
 
-    def remember(self, prefix: int, name: str) -> None:
-        """Note which server has a prompt prefix in its cache."""
+    def record_prefix(self, prefix: int, name: str) -> None:
+        """Record which server has a prompt prefix in its cache.
+
+        Only the last ``MAX_PREFIXES`` prefixes are kept; 0 stands for an
+        unknown prefix and is ignored.
+        """
         if not prefix:
             return
         self._prefixes[prefix] = name
         self._prefixes.move_to_end(prefix)
-        if len(self._prefixes) > PREFIXES_KEPT:
+        if len(self._prefixes) > MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
 
@@ -279,7 +333,7 @@
     server.view = replace(server.view, leaving=True)
 
 
-def _chance(ticket: Ticket, server: Server) -> float:
+def _random_cost(ticket: Ticket, server: Server) -> float:
     text = f'{ticket.ticket_id}/{server.view.name}'
     digest = hashlib.blake2b(text.encode(), digest_size=4).digest()
     return float(int.from_bytes(digest))
@@ -293,7 +347,7 @@
     if server.limit.token_s > 0:
         cost *= server.limit.token_s
     if server.view.name == ticket.avoid:
-        cost *= AVOIDED_PENALTY
+        cost *= PENALTY_FACTOR
     if server.slow:
-        cost *= AVOIDED_PENALTY
+        cost *= PENALTY_FACTOR
     return cost
--- a/src/siskinpass/process/policies.py
+++ b/src/siskinpass/process/policies.py
@@ -21,7 +21,7 @@
     if decisions in {LEAST_OUTSTANDING, FIFO_RANDOM}:
         # These baselines do not queue; requests wait at the backend servers.
         return BrokerPolicy(
-            LimitPolicy(start=UNLIMITED, least=UNLIMITED, most=UNLIMITED),
+            LimitPolicy(start=UNLIMITED, minimum=UNLIMITED, maximum=UNLIMITED),
             by_priority=False,
             pauses=False,
             at_random=decisions == FIFO_RANDOM,
@@ -29,8 +29,8 @@
     return BrokerPolicy(
         LimitPolicy(
             start=max(1, pool.slots // instance_count),
-            least=1 if instance_count > 1 else 2,
-            most=max(1, pool.slots_most // instance_count),
+            minimum=1 if instance_count > 1 else 2,
+            maximum=max(1, pool.slots_most // instance_count),
             token_s=pool.token_ms / MS_PER_S,
         ),
     )
