--- a/src/siskinpass/platform/boot.py
+++ b/src/siskinpass/platform/boot.py
@@ -17,7 +17,7 @@
 )
 from siskinpass.process.fleet.settings import (
     FleetSettings,
-    Promises,
+    OperatorBounds,
     RetryBounds,
 )
 
@@ -63,14 +63,14 @@
         metrics_port=int(ports[1]),
         store=read_field(store, 'address', str),
         is_first_start=read_field(table, 'bootstrap', bool, default=False),
-        promises=_promises(read_field(table, 'bounds', dict, {})),
+        operator_bounds=_promises(read_field(table, 'bounds', dict, {})),
     )
 
 
-def _promises(bounds: Mapping[str, Any]) -> Promises:
-    default = Promises()
+def _promises(bounds: Mapping[str, Any]) -> OperatorBounds:
+    default = OperatorBounds()
     retries = default.retries
-    return Promises(
+    return OperatorBounds(
         contact_s=_milliseconds(bounds, 'contact-ms', default.contact_s),
         grace_s=_number(bounds, 'grace-s', default.grace_s),
         directory_s=_number(bounds, 'ttl_max_s', default.directory_s),
--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptResult:
     """Tell how an attempt ended.
 
     :param ending: none where a stream was passed on to its end.
@@ -50,7 +50,7 @@
         return self.ending is None
 
 
-class AnswerTaker(AnswerSink):
+class AnswerReceiver(AnswerSink):
     """Check an answer and pass on the events of a stream.
 
     :param call_id: id that the answer must bear.
@@ -77,7 +77,9 @@
         self._has_signs = False
         self._connection: BackendConnection | None = None
         self._loop = asyncio.get_running_loop()
-        self.finished: asyncio.Future[Ended] = self._loop.create_future()
+        self.finished: asyncio.Future[AttemptResult] = (
+            self._loop.create_future()
+        )
 
     @property
     def has_begun(self) -> bool:
@@ -96,7 +98,7 @@
         if connection is not None:
             connection.cancel()
 
-    async def wait(self, limits: SilenceLimits | None) -> Ended:
+    async def wait(self, limits: SilenceLimits | None) -> AttemptResult:
         """Wait for the end of the attempt.
 
         :param limits: bounds of the server's silence, none for no bound.
@@ -160,37 +162,37 @@
         """End an attempt that broke off."""
         self._connection = None
         if self._head is not None and self._head.not_run:
-            self._end(Ended(Ending.declined, self._head))
+            self._end(AttemptResult(Ending.declined, self._head))
         else:
             self._end(self._broken(str(error) or 'closed'))
 
     def _end_stream(self) -> None:
         if self._tap.is_whole and self._tap.count:
             self._writer.begin(self._head)
-            self._end(Ended(None, self._head))
+            self._end(AttemptResult(None, self._head))
         else:
             self._end(self._broken('the stream ended inside an event'))
 
     def _end_body(self) -> None:
         body = bytes(self._body)
         if self._head.not_run:
-            self._end(Ended(Ending.declined, self._head, body))
+            self._end(AttemptResult(Ending.declined, self._head, body))
         elif self._head.is_success:
-            self._end(Ended(None, self._head, body))
+            self._end(AttemptResult(None, self._head, body))
         else:
-            self._end(Ended(Ending.failed, self._head, body))
+            self._end(AttemptResult(Ending.failed, self._head, body))
 
     def _break_off(self, cause: str) -> None:
         self.cancel()
         self._end(self._broken(cause))
 
-    def _broken(self, cause: str) -> Ended:
+    def _broken(self, cause: str) -> AttemptResult:
         if self._tap is not None:
             self._tap.drop_partial()
         ending = Ending.cut if self.has_begun else Ending.lost
-        return Ended(ending, self._head, cause=cause)
+        return AttemptResult(ending, self._head, cause=cause)
 
-    def _end(self, ended: Ended) -> None:
+    def _end(self, ended: AttemptResult) -> None:
         if not self.finished.done():
             self.finished.set_result(ended)
 
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -31,7 +31,7 @@
 # Waiting tickets are looked at this often; a refusal is late by as much.
 TICK_S = 0.02
 
-PolicyOf = Callable[[str], BrokerPolicy]
+PolicyLookup = Callable[[str], BrokerPolicy]
 OnPlaced = Callable[[PromptPlaced], None]
 
 
@@ -50,9 +50,9 @@
     :param on_placed: told of each prompt that was placed on a server.
     """
 
-    def __init__(self, policy_of: PolicyOf, on_placed: OnPlaced) -> None:
+    def __init__(self, policy_for: PolicyLookup, on_placed: OnPlaced) -> None:
         """Start without servers."""
-        self._policy_of = policy_of
+        self._policy_of = policy_for
         self._on_placed = on_placed
         self._loop = asyncio.get_running_loop()
         self._brokers: dict[str, Broker] = {}
@@ -84,7 +84,7 @@
         """Return how many requests wait for a server."""
         return sum(broker.waiting for broker in self._brokers.values())
 
-    def load_of(self, ticket: Ticket, server: str) -> ServerLoad:
+    def server_load(self, ticket: Ticket, server: str) -> ServerLoad:
         """Return what all instances run on a server."""
         found = self.broker(ticket.pool).table.find(server)
         return found.load if found else ServerLoad()
@@ -123,7 +123,7 @@
             released = GrantReleased(ticket.ticket_id, failed, erred)
             self._apply(ticket.pool, released)
 
-    def list_servers(self, views: Iterable[ServerView]) -> None:
+    def set_servers(self, views: Iterable[ServerView]) -> None:
         """Take the servers of all services, also when the services change."""
         by_pool: dict[str, list[ServerView]] = {}
         self._views = {}
@@ -136,12 +136,12 @@
             self.broker(pool).table.cache.resize(memory_tokens)
             self._apply(pool, ServersListed(tuple(by_pool.get(pool, ()))))
 
-    def take_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
+    def set_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
         """Take what the other instances run."""
         for pool in self._brokers:
             self._apply(pool, PeerLoadsTold(loads))
 
-    def note_placed(self, placed: PromptPlaced) -> None:
+    def record_placement(self, placed: PromptPlaced) -> None:
         """Take in a prompt that another instance placed."""
         view = self._views.get(placed.server)
         if view is not None:
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -13,9 +13,13 @@
 from siskinpass.connection.http_caller import HttpCaller
 from siskinpass.exceptions import ConnectError, RefusedError
 from siskinpass.platform.headers import decode_call, encode_send
-from siskinpass.process.fleet.answer import AnswerTaker, Ended
+from siskinpass.process.fleet.answer import AnswerReceiver, AttemptResult
 from siskinpass.process.fleet.assigner import Assigner
-from siskinpass.process.fleet.tickets import Attempt, make_ticket, urgency_of
+from siskinpass.process.fleet.tickets import (
+    Attempt,
+    engine_urgency,
+    make_ticket,
+)
 from siskinpass.process.logs import PartLog
 from siskinpass.process.metrics import ANSWERED, Metrics
 from siskinpass.process.request_story import (
@@ -49,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
+class ForwardContext:
     """Hold what a request needs of its process.
 
     :param table: returns the routing table in force, none before the first.
@@ -69,7 +73,7 @@
 class Forwarder:
     """Start and follow one task for each request."""
 
-    def __init__(self, tools: Tools) -> None:
+    def __init__(self, tools: ForwardContext) -> None:
         """Start without requests."""
         self._tools = tools
         self._numbers = itertools.count(1)
@@ -82,19 +86,19 @@
 
     def serve(self, caller: HttpCaller, request: WireRequest) -> None:
         """Start to answer a request."""
-        run = ForwardRun(self._tools, caller, request, next(self._numbers))
+        run = RequestHandler(self._tools, caller, request, next(self._numbers))
         task = asyncio.get_running_loop().create_task(run.run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         caller.on_lost = task.cancel
 
 
-class ForwardRun:
+class RequestHandler:
     """Answer one request."""
 
     def __init__(
         self,
-        tools: Tools,
+        tools: ForwardContext,
         caller: HttpCaller,
         request: WireRequest,
         number: int,
@@ -167,15 +171,15 @@
         table: RouteTable,
     ) -> None:
         patience_s = self._call.patience_s or DEFAULT_PATIENCE_S
-        ends_s = self._started_s + min(patience_s, route.timeout_s)
+        deadline_s = self._started_s + min(patience_s, route.timeout_s)
         service = route.service_at(random.random())
         self._tools.note_request(service)
         self._node = route.name
         if route.is_stream:
             self._tap = EventTap(self._started_s)
-        plan = _Plan(route, workspace, service, ends_s, table)
+        plan = _Plan(route, workspace, service, deadline_s, table)
         try:
-            async with asyncio.timeout_at(ends_s):
+            async with asyncio.timeout_at(deadline_s):
                 await self._attempt_all(plan)
         except TimeoutError:
             self._end_late(plan)
@@ -193,7 +197,7 @@
                 return
             self._tools.metrics.retried(_RETRY_CODES[ended.ending])
 
-    async def _attempt(self, plan: '_Plan') -> Ended:
+    async def _attempt(self, plan: '_Plan') -> AttemptResult:
         ticket = make_ticket(
             self._call,
             plan,
@@ -211,7 +215,7 @@
         self._avoid = view.name
         return ended
 
-    def _release(self, ticket: Ticket, ended: Ended | None) -> None:
+    def _release(self, ticket: Ticket, ended: AttemptResult | None) -> None:
         ending = ended.ending if ended else None
         self._tools.assigner.release(
             ticket,
@@ -224,25 +228,25 @@
         plan: '_Plan',
         ticket: Ticket,
         view: ServerView,
-    ) -> Ended:
+    ) -> AttemptResult:
         try:
             connection = await self._tools.backends.connect(
                 view.address,
                 fresh=False,
             )
         except ConnectError as error:
-            return Ended(Ending.unsent, cause=str(error))
-        taker = AnswerTaker(self._call.call_id, self._tap, self)
+            return AttemptResult(Ending.unsent, cause=str(error))
+        taker = AnswerReceiver(self._call.call_id, self._tap, self)
         order = SendOrder(
             server=view.name,
-            left_s=plan.ends_s - _now_s(),
+            left_s=plan.deadline_s - _now_s(),
             workspace=plan.workspace.name if plan.workspace else '',
-            urgency=urgency_of(ticket.tier),
+            urgency=engine_urgency(ticket.tier),
             resume_after=self._resume_after(plan.route),
         )
         if order.left_s < LEFT_LEAST_S:
             connection.cancel()
-            return Ended(Ending.unsent, cause='no time left')
+            return AttemptResult(Ending.unsent, cause='no time left')
         with self._following(taker):
             taker.start(connection, encode_send(self._call, order))
             return await taker.wait(
@@ -250,7 +254,7 @@
             )
 
     @contextmanager
-    def _following(self, taker: AnswerTaker) -> Generator[None, None, None]:
+    def _following(self, taker: AnswerReceiver) -> Generator[None, None, None]:
         """Stop the server's work if the request ends before its answer."""
         self._in_flight = True
         self._caller.on_flow = taker.set_flow
@@ -261,7 +265,7 @@
             self._caller.on_flow = None
         self._in_flight = False
 
-    def _next_step(self, plan: '_Plan', ended: Ended) -> Step:
+    def _next_step(self, plan: '_Plan', ended: AttemptResult) -> Step:
         if ended.ending in {Ending.unsent, Ending.declined}:
             self._sends = Sends(self._sends.run, self._sends.not_run + 1)
         else:
@@ -274,14 +278,14 @@
             return give_up(ended.ending, has_run=self._sends.run > 0)
         return step
 
-    def _may_go_on(self, plan: '_Plan', ended: Ended) -> bool:
-        if plan.ends_s - _now_s() < LEFT_LEAST_S:
+    def _may_go_on(self, plan: '_Plan', ended: AttemptResult) -> bool:
+        if plan.deadline_s - _now_s() < LEFT_LEAST_S:
             return False
         if ended.ending is Ending.unsent:
             return True
         return self._tools.may_retry(plan.service)
 
-    def _deliver(self, plan: '_Plan', ended: Ended) -> None:
+    def _deliver(self, plan: '_Plan', ended: AttemptResult) -> None:
         if self._has_begun:
             self._caller.end_stream()
         else:
@@ -314,7 +318,7 @@
             age_ms=_in_ms(age_s),
         )
 
-    def _finish(self, step: Step, ended: Ended) -> None:
+    def _finish(self, step: Step, ended: AttemptResult) -> None:
         if self._has_begun or step is Step.cut:
             self._cut(Code.stream_cut)
         elif step is Step.pass_on and not ended.head.promises_not_run:
@@ -373,7 +377,7 @@
         )
 
     def _log_grant(self, ticket: Ticket, view: ServerView) -> None:
-        load = self._tools.assigner.load_of(ticket, view.name)
+        load = self._tools.assigner.server_load(ticket, view.name)
         waited_s = _now_s() - ticket.opened_s
         self._tools.metrics.waited(ticket.node, waited_s)
         self._tools.log.often(
@@ -389,7 +393,9 @@
             waited_ms=_in_ms(waited_s),
         )
 
-    def _log_step(self, plan: '_Plan', ended: Ended, step: Step) -> None:
+    def _log_step(
+        self, plan: '_Plan', ended: AttemptResult, step: Step
+    ) -> None:
         self._tools.log.note(
             ATTEMPT_FAILED,
             call=self._call.call_id,
@@ -423,7 +429,7 @@
     route: Route
     workspace: Workspace | None
     service: str
-    ends_s: float
+    deadline_s: float
     table: RouteTable
 
     @property
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -13,7 +13,7 @@
 from siskinpass.connection.whole_answer import fetch
 from siskinpass.exceptions import BackendError, SiskinpassError
 from siskinpass.platform.engines import KEPT_PARTS_CALL, decode_kept_parts
-from siskinpass.process.fleet.tickets import pieces_of
+from siskinpass.process.fleet.tickets import hash_parts
 from siskinpass.process.logs import PartLog
 from siskinpass.request.inbound import STATUS_OK, Prompt
 from siskinpass.request.ticket import PromptPlaced, ServerView
@@ -23,10 +23,10 @@
 ANSWER_S = 1.0
 # A list holds up the engine's work. Each instance of a large fleet asks only
 # some engines, so that none gets more calls than on the users' smaller sites.
-ENGINES_MOST = 12
+MAX_ENGINES = 12
 
 
-class KeptParts:
+class KeptPartsLoader:
     """Ask each engine once what it keeps, or some of them where they are many.
 
     A part that an engine keeps in part counts as whole.
@@ -51,7 +51,7 @@
     async def learn(self, engines: Iterable[ServerView]) -> None:
         """Ask all engines at once."""
         known = tuple(engines)
-        asked = random.sample(known, min(len(known), ENGINES_MOST))
+        asked = random.sample(known, min(len(known), MAX_ENGINES))
         await asyncio.gather(*(self._learn_one(one) for one in asked))
 
     async def _learn_one(self, engine: ServerView) -> None:
@@ -64,7 +64,7 @@
                 cause=str(error),
             )
             return
-        self._tell(PromptPlaced(engine.name, pieces_of(Prompt(parts))))
+        self._tell(PromptPlaced(engine.name, hash_parts(Prompt(parts))))
         self._log.note(
             'An engine told what it keeps.',
             server=engine.name,
--- a/src/siskinpass/process/fleet/loads.py
+++ b/src/siskinpass/process/fleet/loads.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerReport:
+class LoadReport:
     """Hold what one instance told last.
 
     :param order: counts up with each report of one process.
@@ -30,14 +30,14 @@
     loads: Mapping[str, ServerLoad]
 
 
-class PeerLoads:
+class PeerLoadTable:
     """Add up what the other instances told. Pure logic."""
 
     def __init__(self) -> None:
         """Start with nothing heard."""
-        self._reports: dict[str, PeerReport] = {}
+        self._reports: dict[str, LoadReport] = {}
 
-    def hear(self, name: str, report: PeerReport) -> None:
+    def hear(self, name: str, report: LoadReport) -> None:
         """Take in a report; one that was overtaken is dropped."""
         known = self._reports.get(name)
         if known is None or report.order > known.order:
@@ -83,7 +83,7 @@
         self._on_loads = on_loads
         self._on_placed = on_placed
         self._loop = asyncio.get_running_loop()
-        self._heard = PeerLoads()
+        self._heard = PeerLoadTable()
         self._log = PartLog('loads')
         self._told: Mapping[str, ServerLoad] = {}
         self._told_s = 0.0
@@ -111,10 +111,10 @@
             server: ServerLoad(running, tight, tuple(unread))
             for server, running, tight, unread in rows
         }
-        self._heard.hear(name, PeerReport(order, self._loop.time(), loads))
+        self._heard.hear(name, LoadReport(order, self._loop.time(), loads))
         self._has_news = True
 
-    def tell_placed(self, placed: PromptPlaced) -> None:
+    def send_placement(self, placed: PromptPlaced) -> None:
         """Tell at once of a prompt that this instance placed."""
         pieces = [(piece.key, piece.tokens) for piece in placed.pieces]
         self._send(
--- a/src/siskinpass/process/fleet/members.py
+++ b/src/siskinpass/process/fleet/members.py
@@ -45,7 +45,7 @@
         )
 
     @property
-    def most(self) -> int:
+    def max_seen(self) -> int:
         """Return the most instances that were known at once."""
         return self._most
 
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -14,8 +14,8 @@
 from siskinpass.process.broker import BrokerPolicy
 from siskinpass.process.fleet.assigner import Assigner
 from siskinpass.process.fleet.budgets import RetryBudgets
-from siskinpass.process.fleet.forward import Forwarder, Tools
-from siskinpass.process.fleet.kept_parts import KeptParts
+from siskinpass.process.fleet.forward import ForwardContext, Forwarder
+from siskinpass.process.fleet.kept_parts import KeptPartsLoader
 from siskinpass.process.fleet.loads import LoadExchange
 from siskinpass.process.fleet.members import FleetMembers
 from siskinpass.process.fleet.policy import fleet_policy
@@ -60,7 +60,7 @@
         self._metrics = Metrics()
         self._directory_s = min(
             DIRECTORY_TTL_S,
-            settings.promises.directory_s,
+            settings.operator_bounds.directory_s,
         )
         self._stopping = asyncio.Event()
         self._callers: set[HttpCaller] = set()
@@ -69,15 +69,15 @@
         self._store = StoreClient(settings.store, self._note_store_call)
         self._members = FleetMembers(settings, self._store)
         self._assigner = Assigner(self._policy_of, self._tell_placed)
-        self._state = StoredState(self._assigner.list_servers)
+        self._state = StoredState(self._assigner.set_servers)
         self._backends = BackendPool(self._loop, BACKEND_POOL)
         self._forwarder = Forwarder(self._tools())
         self._loads = LoadExchange(
             settings.name,
             self._own_loads,
             partial(self._members.peer_sockets, LOADS_PORT_STEP),
-            self._assigner.take_peer_loads,
-            self._assigner.note_placed,
+            self._assigner.set_peer_loads,
+            self._assigner.record_placement,
         )
 
     async def run(self) -> None:
@@ -107,16 +107,18 @@
             for view in self._assigner.servers
             if view.pool in services and services[view.pool].engine
         ]
-        learner = KeptParts(self._backends, self._assigner.note_placed)
+        learner = KeptPartsLoader(
+            self._backends, self._assigner.record_placement
+        )
         self._start(learner.learn(engines))
 
-    def _tools(self) -> Tools:
-        bounds = self._settings.promises.retries
+    def _tools(self) -> ForwardContext:
+        bounds = self._settings.operator_bounds.retries
         budgets = RetryBudgets(
             partial(RetryWindow, bounds.ratio, bounds.slack, bounds.window_s),
-            lambda: self._members.most,
+            lambda: self._members.max_seen,
         )
-        return Tools(
+        return ForwardContext(
             table=self._state.table,
             assigner=self._assigner,
             backends=self._backends,
@@ -134,10 +136,10 @@
         self._tasks.append(self._loop.create_task(work))
 
     def _follow_store(self) -> None:
-        wait_s = watch_wait_s(self._settings.promises.contact_s)
+        wait_s = watch_wait_s(self._settings.operator_bounds.contact_s)
         for kind, tell in (
-            (CONFIG_KIND, self._state.take_config),
-            (WORKERS_KIND, self._state.take_workers),
+            (CONFIG_KIND, self._state.apply_config),
+            (WORKERS_KIND, self._state.apply_workers),
         ):
             self._start(KindWatch(self._store, kind, wait_s, tell).run())
         self._start(self._members.register())
@@ -189,7 +191,7 @@
 
     async def _drain(self) -> None:
         """Stop taking work, finish what is open, then leave."""
-        ends_s = self._loop.time() + self._settings.promises.grace_s
+        deadline_s = self._loop.time() + self._settings.operator_bounds.grace_s
         self._log.note(
             'The instance is leaving.',
             open=self._forwarder.open_requests,
@@ -204,11 +206,11 @@
         await asyncio.sleep(CROSSING_S)
         for caller in self._callers:
             caller.leave()
-        await self._finish_open(ends_s - EXIT_MARGIN_S)
+        await self._finish_open(deadline_s - EXIT_MARGIN_S)
         self._log.note('The process ends.', cut=self._forwarder.open_requests)
 
-    async def _finish_open(self, ends_s: float) -> None:
-        while self._forwarder.open_requests and self._loop.time() < ends_s:
+    async def _finish_open(self, deadline_s: float) -> None:
+        while self._forwarder.open_requests and self._loop.time() < deadline_s:
             await asyncio.sleep(TICK_S)
         # Lets the last answers reach their callers.
         await asyncio.sleep(TICK_S)
@@ -229,7 +231,7 @@
         return fleet_policy(engine.memory_tokens if engine else 0)
 
     def _tell_placed(self, placed: PromptPlaced) -> None:
-        self._loads.tell_placed(placed)
+        self._loads.send_placement(placed)
 
     def _own_loads(self) -> dict[str, ServerLoad]:
         return self._assigner.loads
--- a/src/siskinpass/process/fleet/settings.py
+++ b/src/siskinpass/process/fleet/settings.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Promises:
+class OperatorBounds:
     """Hold the bounds that the operator states, in seconds.
 
     :param contact_s: calm time after which an instance counts as in touch.
@@ -55,7 +55,7 @@
     metrics_port: int
     store: str
     is_first_start: bool = False
-    promises: Promises = field(default_factory=Promises)
+    operator_bounds: OperatorBounds = field(default_factory=OperatorBounds)
 
     @property
     def peers(self) -> str:
--- a/src/siskinpass/process/fleet/state.py
+++ b/src/siskinpass/process/fleet/state.py
@@ -7,7 +7,12 @@
 from siskinpass.platform.config import CONFIG_NAME, decode_config
 from siskinpass.platform.objects import StoredObject
 from siskinpass.platform.workers import decode_worker
-from siskinpass.process.fleet.watch import Changed, Listed, Lost, News
+from siskinpass.process.fleet.watch import (
+    Changed,
+    Listed,
+    StoreUnavailable,
+    StoreUpdate,
+)
 from siskinpass.process.logs import PartLog
 from siskinpass.process.server_book import ServerBook
 from siskinpass.request.ticket import ServerView
@@ -47,18 +52,18 @@
         """Return the bounds in force for what callers send."""
         return self._table.limits if self._table else CallerLimits()
 
-    def take_config(self, news: News) -> None:
+    def apply_config(self, news: StoreUpdate) -> None:
         """Take in what the store told of the configuration."""
-        if isinstance(news, Lost):
+        if isinstance(news, StoreUnavailable):
             return
         for stored in news.stored:
             if stored.name == CONFIG_NAME and not stored.is_deleted:
                 self._adopt(stored)
 
-    def take_workers(self, news: News) -> None:
+    def apply_workers(self, news: StoreUpdate) -> None:
         """Take in what the store told of the backend servers."""
         now_s = self._loop.time()
-        if isinstance(news, Lost):
+        if isinstance(news, StoreUnavailable):
             self._servers.lose(now_s)
             return
         if isinstance(news, Listed):
--- a/src/siskinpass/process/fleet/store_client.py
+++ b/src/siskinpass/process/fleet/store_client.py
@@ -40,11 +40,11 @@
     def __init__(
         self,
         address: str,
-        note_call: Callable[[str, str], None],
+        on_call: Callable[[str, str], None],
     ) -> None:
         """Prepare a pool; no connection is opened yet."""
         self._address = address
-        self._note_call = note_call
+        self._note_call = on_call
         self._pool = BackendPool(asyncio.get_running_loop(), STORE_POOL)
 
     async def list_kind(self, kind: str) -> objects.Page:
--- a/src/siskinpass/process/fleet/tickets.py
+++ b/src/siskinpass/process/fleet/tickets.py
@@ -22,7 +22,7 @@
     route: Route
     service: str
     table: RouteTable
-    ends_s: float
+    deadline_s: float
 
     @property
     def tier(self) -> int:
@@ -51,7 +51,7 @@
     """Return the ticket of one attempt."""
     route = plan.route
     prompt = call.prompt
-    left_s = plan.ends_s - attempt.now_s
+    left_s = plan.deadline_s - attempt.now_s
     return Ticket(
         ticket_id=attempt.ticket_id,
         entry='',
@@ -62,7 +62,7 @@
         target_s=route.target_s,
         patience_s=left_s * PATIENCE_PART,
         share=SHARE,
-        pieces=pieces_of(prompt),
+        pieces=hash_parts(prompt),
         pausable=False,
         avoid=attempt.avoid,
         tokens_in=prompt.tokens_in,
@@ -70,14 +70,14 @@
     )
 
 
-def pieces_of(prompt: Prompt) -> tuple[PromptPiece, ...]:
+def hash_parts(prompt: Prompt) -> tuple[PromptPiece, ...]:
     """Return the parts of a prompt by hashes of their names."""
     return tuple(
         PromptPiece(_hash(part.key), part.tokens) for part in prompt.parts
     )
 
 
-def urgency_of(tier: int) -> int:
+def engine_urgency(tier: int) -> int:
     """Return the engine's urgency for a tier."""
     return min(URGENCY_MOST, max(0, tier))
 
--- a/src/siskinpass/process/fleet/watch.py
+++ b/src/siskinpass/process/fleet/watch.py
@@ -33,11 +33,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class StoreUnavailable:
     """The store stopped answering."""
 
 
-News = Listed | Changed | Lost
+StoreUpdate = Listed | Changed | StoreUnavailable
 
 
 def watch_wait_s(contact_s: float) -> float:
@@ -60,7 +60,7 @@
         store: StoreClient,
         kind: str,
         wait_s: float,
-        tell: Callable[[News], None],
+        tell: Callable[[StoreUpdate], None],
     ) -> None:
         """Start without a revision."""
         self._store = store
@@ -114,7 +114,7 @@
                 kind=self._kind,
                 cause=str(error),
             )
-        self._tell(Lost())
+        self._tell(StoreUnavailable())
 
     def _regain(self) -> None:
         if self._failures:
--- a/src/siskinpass/process/hosting.py
+++ b/src/siskinpass/process/hosting.py
@@ -25,7 +25,7 @@
 FALLBACK = 'fallback:'
 
 OnCommands = Callable[[list[Command]], None]
-PolicyOf = Callable[[str], BrokerPolicy]
+PolicyLookup = Callable[[str], BrokerPolicy]
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        policy_of: PolicyOf,
+        policy_of: PolicyLookup,
     ) -> None:
         """Start without brokers.
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -203,7 +203,7 @@
     return Answer(status, text, text_body, whole, arrived)
 
 
-async def until(holds, what):
+async def wait_until(holds, what):
     """Wait for an event; it must come."""
     for _ in range(int(WAIT_S / POLL_S)):
         told = holds()
@@ -236,8 +236,10 @@
         for number in range(1, instances + 1):
             await fleet.start(f'front-{number}')
         for name in tuple(fleet.processes):
-            await until(lambda name=name: fleet.is_ready(name), f'{name} ready')
-            await until(
+            await wait_until(
+                lambda name=name: fleet.is_ready(name), f'{name} ready'
+            )
+            await wait_until(
                 lambda name=name: _accepts(fleet.ports[name][2]),
                 f'{name} serves',
             )
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -36,7 +36,7 @@
     def __init__(self):
         """Start before the store told anything."""
         self.assigner = Assigner(self._policy_of, lambda news: None)
-        self.state = StoredState(self.assigner.list_servers)
+        self.state = StoredState(self.assigner.set_servers)
 
     def _policy_of(self, pool):
         table = self.state.table()
@@ -53,9 +53,9 @@
 
         async def play():
             instance = Instance()
-            instance.state.take_workers(listed('e-1', WORKER))
-            instance.state.take_config(listed(CONFIG_NAME, CONFIG))
-            instance.assigner.note_placed(PromptPlaced('e-1', (PART,)))
+            instance.state.apply_workers(listed('e-1', WORKER))
+            instance.state.apply_config(listed(CONFIG_NAME, CONFIG))
+            instance.assigner.record_placement(PromptPlaced('e-1', (PART,)))
             return instance.assigner.broker('lm').table.cache
 
         assert asyncio.run(play()).cached('e-1', (PART,)) == PART.tokens
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -9,7 +9,7 @@
 
 from siskinpass.cli_explain import STATUS_UNKNOWN, explain
 from siskinpass.process.request_story import read_log, tell_story
-from tests.fleet import KEY, config, running, until
+from tests.fleet import KEY, config, running, wait_until
 
 ASKED_FOR = 'the-one'
 OTHERS = 40
@@ -31,7 +31,7 @@
         asyncio.ensure_future(fleet.ask('/once/x', call=f'other-{number}'))
         for number in range(OTHERS)
     ]
-    await until(lambda: len(fleet.runs) >= 18, 'all slots taken')
+    await wait_until(lambda: len(fleet.runs) >= 18, 'all slots taken')
     answer = await fleet.ask('/once/x', call=ASKED_FOR)
     assert answer.status == 503
     for task in asked:
@@ -47,7 +47,7 @@
         answer = await fleet.ask('/once/x', call='probe')
         return answer.status == 401
 
-    await until(is_refused, 'the key is gone')
+    await wait_until(is_refused, 'the key is gone')
     answer = await fleet.ask('/once/x', call=ASKED_FOR, key=KEY)
     assert answer.status == 401
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,15 @@
 import pytest
 
 from siskinpass.codes import MEANINGS, Code
-from tests.fleet import ROUTES, config, entry, exchange, route, running, until
+from tests.fleet import (
+    ROUTES,
+    config,
+    entry,
+    exchange,
+    route,
+    running,
+    wait_until,
+)
 
 WHOLE = b''.join(f'id: {n}\ndata: x{n}\n\n'.encode() for n in range(1, 9))
 
@@ -164,7 +172,7 @@
             asked = asyncio.create_task(
                 fleet.ask('/stream/stream', more='X-Length-Hint: 8\r\n'),
             )
-            await until(lambda: fleet.runs, 'the run')
+            await wait_until(lambda: fleet.runs, 'the run')
             await fleet.store.remove('servers', worker.name)
             answer = await asked
             assert WHOLE.startswith(answer.body.rstrip())
@@ -205,12 +213,14 @@
         async def scenario(fleet):
             newer = (*ROUTES, route('/new/', 'unsafe'))
             await fleet.store.put('config', 'main', config(5, newer))
-            await until(lambda: _has_status(fleet, '/new/x', 200), 'version 5')
+            await wait_until(
+                lambda: _has_status(fleet, '/new/x', 200), 'version 5'
+            )
             await fleet.store.put('config', 'main', config(4))
             await fleet.store.put('config', 'main', {'version': 9})
             last = (*newer, route('/last/', 'unsafe'))
             await fleet.store.put('config', 'main', config(10, last))
-            await until(
+            await wait_until(
                 lambda: _has_status(fleet, '/last/x', 200), 'version 10'
             )
             assert await _has_status(fleet, '/new/x', 200)
@@ -224,7 +234,9 @@
             fleet.store.history_from = 10**6
             newer = (*ROUTES, route('/new/', 'unsafe'))
             await fleet.store.put('config', 'main', config(5, newer))
-            await until(lambda: _has_status(fleet, '/new/x', 200), 'version 5')
+            await wait_until(
+                lambda: _has_status(fleet, '/new/x', 200), 'version 5'
+            )
 
         played(scenario)
 
@@ -238,7 +250,7 @@
                 entry(1, state='draining'),
             )
             await fleet.store.put('servers', 'i-9', {'service': 5})
-            await until(lambda: _avoids(fleet, 0), 'i-0 to be left')
+            await wait_until(lambda: _avoids(fleet, 0), 'i-0 to be left')
 
         played(scenario)
 
@@ -248,10 +260,10 @@
         async def scenario(fleet):
             await fleet.store.take_down()
             await fleet.start('late')
-            await until(lambda: _answers(fleet, 'late'), 'the process')
+            await wait_until(lambda: _answers(fleet, 'late'), 'the process')
             assert not await fleet.is_ready('late')
             fleet.store.is_down = False
-            await until(lambda: fleet.is_ready('late'), 'readiness')
+            await wait_until(lambda: fleet.is_ready('late'), 'readiness')
 
         played(scenario)
 
@@ -266,9 +278,9 @@
             for worker in fleet.workers:
                 worker.gap_s = 0.2
             asked = asyncio.create_task(fleet.ask('/stream/stream'))
-            await until(lambda: fleet.runs, 'the run')
+            await wait_until(lambda: fleet.runs, 'the run')
             fleet.processes['front-1'].send_signal(signal.SIGTERM)
-            await until(lambda: _not_ready(fleet), 'not ready')
+            await wait_until(lambda: _not_ready(fleet), 'not ready')
             late = await fleet.ask('/once/x')
             assert (late.status, late.header('Connection')) == (200, 'close')
             answer = await asked
@@ -285,9 +297,9 @@
             for worker in fleet.workers:
                 worker.faults.silent = 1
             asked = asyncio.create_task(fleet.ask('/once/x'))
-            await until(lambda: fleet.runs, 'the run')
+            await wait_until(lambda: fleet.runs, 'the run')
             asked.cancel()
-            await until(lambda: _idle(fleet), 'no request to run')
+            await wait_until(lambda: _idle(fleet), 'no request to run')
 
         played(scenario)
 
@@ -299,9 +311,9 @@
         """The directory tells all of a zone, a stopped one no more."""
 
         async def scenario(fleet):
-            await until(lambda: _tells(fleet, 2), 'two addresses')
+            await wait_until(lambda: _tells(fleet, 2), 'two addresses')
             fleet.processes['front-2'].kill()
-            await until(lambda: _tells(fleet, 1), 'one address')
+            await wait_until(lambda: _tells(fleet, 1), 'one address')
 
         played(scenario, instances=2)
 
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -8,8 +8,8 @@
 from siskinpass.connection.backend import BackendPool
 from siskinpass.exceptions import FormatError
 from siskinpass.platform.engines import decode_kept_parts
-from siskinpass.process.fleet.kept_parts import ENGINES_MOST, KeptParts
-from siskinpass.process.fleet.tickets import pieces_of
+from siskinpass.process.fleet.kept_parts import MAX_ENGINES, KeptPartsLoader
+from siskinpass.process.fleet.tickets import hash_parts
 from siskinpass.request.inbound import Prompt, PromptPart
 from siskinpass.request.ticket import ServerView
 from standins.http_server import HangUpError, Response, serve
@@ -73,7 +73,7 @@
         servers.append(server)
         engines.append(ServerView(f'e-{number}', f'127.0.0.1:{port}', 'lm'))
     pool = BackendPool(asyncio.get_running_loop())
-    learner = KeptParts(
+    learner = KeptPartsLoader(
         pool, lambda news: told.update({news.server: news}), 0.3
     )
     await learner.learn(engines)
@@ -87,13 +87,13 @@
 
     def test_large_fleets_ask_some_engines(self):
         """The calls of one instance are bounded."""
-        told = asyncio.run(learn(*[kept] * (ENGINES_MOST + 5)))
-        assert len(told) == ENGINES_MOST
+        told = asyncio.run(learn(*[kept] * (MAX_ENGINES + 5)))
+        assert len(told) == MAX_ENGINES
 
     @pytest.mark.parametrize('broken', [refused, hung_up, silent, spoiled])
     def test_one_engine_holds_up_no_other(self, broken):
         """What one engine keeps is learnt whatever another one does."""
         told = asyncio.run(learn(broken, kept))
         assert list(told) == ['e-1']
-        assert told['e-1'].pieces == pieces_of(Prompt(PARTS))
+        assert told['e-1'].pieces == hash_parts(Prompt(PARTS))
         assert told['e-1'].unread == 0
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -80,9 +80,9 @@
         """Times come in seconds, what is not stated has a default."""
         settings = decode_settings(SETTINGS.encode())
         assert settings.peers == '127.0.0.1:7340'
-        assert settings.promises.directory_s == pytest.approx(4)
-        assert settings.promises.retries.slack == pytest.approx(54)
-        assert settings.promises.retries.ratio == pytest.approx(0.2)
+        assert settings.operator_bounds.directory_s == pytest.approx(4)
+        assert settings.operator_bounds.retries.slack == pytest.approx(54)
+        assert settings.operator_bounds.retries.ratio == pytest.approx(0.2)
 
     @pytest.mark.parametrize(
         ('old', 'new'),
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,12 +9,12 @@
     Changed,
     KindWatch,
     Listed,
-    Lost,
+    StoreUnavailable,
     watch_wait_s,
 )
 from standins.fleet import ObjectStore
 from standins.http_server import serve
-from tests.fleet import free_ports, until
+from tests.fleet import free_ports, wait_until
 
 KIND = 'things'
 
@@ -28,7 +28,7 @@
 
     def take(self, news):
         """Take in one piece of news."""
-        if isinstance(news, Lost):
+        if isinstance(news, StoreUnavailable):
             self.lost += 1
             return
         if isinstance(news, Listed):
@@ -50,7 +50,7 @@
     watch = KindWatch(client, KIND, wait_s, follower.take)
     task = asyncio.create_task(watch.run())
     await store.put(KIND, 'first', 1)
-    await until(lambda: 'first' in follower.known, 'the first object')
+    await wait_until(lambda: 'first' in follower.known, 'the first object')
     await scenario(store, follower)
     task.cancel()
     server.close()
@@ -65,7 +65,9 @@
         async def scenario(store, follower):
             await store.put(KIND, 'second', 1)
             await store.remove(KIND, 'first')
-            await until(lambda: follower.known == {'second'}, 'the changes')
+            await wait_until(
+                lambda: follower.known == {'second'}, 'the changes'
+            )
 
         asyncio.run(follow(scenario))
 
@@ -75,9 +77,9 @@
         async def scenario(store, follower):
             store.is_mute = True
             await store.put(KIND, 'second', 1)
-            await until(lambda: follower.lost, 'the silence to be noticed')
+            await wait_until(lambda: follower.lost, 'the silence to be noticed')
             store.is_mute = False
-            await until(lambda: 'second' in follower.known, 'the change')
+            await wait_until(lambda: 'second' in follower.known, 'the change')
 
         asyncio.run(follow(scenario))
 
@@ -86,10 +88,10 @@
 
         async def scenario(store, follower):
             await store.take_down()
-            await until(lambda: follower.lost, 'the outage')
+            await wait_until(lambda: follower.lost, 'the outage')
             await store.put(KIND, 'second', 1)
             store.is_down = False
-            await until(lambda: 'second' in follower.known, 'the change')
+            await wait_until(lambda: 'second' in follower.known, 'the change')
 
         asyncio.run(follow(scenario, wait_s=5.0))
 
