--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -16,7 +16,7 @@
 # The server closes an idle connection after the time that it states; it is
 # not used in the last part of that.
 IDLE_MARGIN_S = 1.0
-IDLE_LEAST_S = 0.2
+MIN_IDLE_S = 0.2
 
 
 class EventWriter(Protocol):
@@ -71,10 +71,10 @@
         self._writer = writer
         self._head: AnswerHead | None = None
         self._body = bytearray()
-        self._streams = False
-        self._fault = ''
-        self._heard_s = 0.0
-        self._has_signs = False
+        self._is_streaming = False
+        self._rejection = ''
+        self._last_received_s = 0.0
+        self._has_received = False
         self._connection: BackendConnection | None = None
         self._loop = asyncio.get_running_loop()
         self.finished: asyncio.Future[AttemptResult] = (
@@ -89,7 +89,7 @@
     def start(self, connection: BackendConnection, request: bytes) -> None:
         """Send the request."""
         self._connection = connection
-        self._heard_s = self._loop.time()
+        self._last_received_s = self._loop.time()
         connection.send(request, self)
 
     def cancel(self) -> None:
@@ -104,11 +104,11 @@
         :param limits: bounds of the server's silence, none for no bound.
         """
         while limits and not self.finished.done():
-            allowed_s = limits.pause_s if self._has_signs else limits.first_s
-            left_s = self._heard_s + allowed_s - self._loop.time()
-            if left_s <= 0:
-                self._break_off(f'silent for {allowed_s:.1f} s')
-            await asyncio.wait((self.finished,), timeout=max(0, left_s))
+            allowed_s = limits.pause_s if self._has_received else limits.first_s
+            remaining_s = self._last_received_s + allowed_s - self._loop.time()
+            if remaining_s <= 0:
+                self._abort(f'silent for {allowed_s:.1f} s')
+            await asyncio.wait((self.finished,), timeout=max(0, remaining_s))
         return await self.finished
 
     def set_flow(self, *, on: bool) -> None:
@@ -122,27 +122,27 @@
         if head.call_id and head.call_id != self._call_id:
             return False
         self._head = head
-        self._fault = _fault_of(head)
+        self._rejection = _rejection_of(head)
         if self._connection is not None and head.idle_s:
             idle_s = head.idle_s - IDLE_MARGIN_S
-            self._connection.idle_s = max(IDLE_LEAST_S, idle_s)
-        if self._tap is not None and head.is_success and not self._fault:
-            self._streams = True
+            self._connection.idle_s = max(MIN_IDLE_S, idle_s)
+        if self._tap is not None and head.is_success and not self._rejection:
+            self._is_streaming = True
         return True
 
     def take_piece(self, piece: bytes) -> None:
         """Collect a body, or pass on the whole events of a stream."""
-        self._heard_s = self._loop.time()
-        self._has_signs = True
-        if self._fault:
+        self._last_received_s = self._loop.time()
+        self._has_received = True
+        if self._rejection:
             return
-        if not self._streams:
+        if not self._is_streaming:
             self._body += piece
             return
         try:
             events = self._tap.feed(piece, self._loop.time())
         except BackendError as error:
-            self._break_off(str(error))
+            self._abort(str(error))
             return
         if events:
             self._writer.begin(self._head)
@@ -151,9 +151,9 @@
     def take_end(self) -> None:
         """End the attempt."""
         self._connection = None
-        if self._fault:
-            self._end(self._broken(self._fault))
-        elif self._streams:
+        if self._rejection:
+            self._end(self._failure_result(self._rejection))
+        elif self._is_streaming:
             self._end_stream()
         else:
             self._end_body()
@@ -164,14 +164,14 @@
         if self._head is not None and self._head.not_run:
             self._end(AttemptResult(Ending.declined, self._head))
         else:
-            self._end(self._broken(str(error) or 'closed'))
+            self._end(self._failure_result(str(error) or 'closed'))
 
     def _end_stream(self) -> None:
         if self._tap.is_whole and self._tap.count:
             self._writer.begin(self._head)
             self._end(AttemptResult(None, self._head))
         else:
-            self._end(self._broken('the stream ended inside an event'))
+            self._end(self._failure_result('the stream ended inside an event'))
 
     def _end_body(self) -> None:
         body = bytes(self._body)
@@ -182,22 +182,22 @@
         else:
             self._end(AttemptResult(Ending.failed, self._head, body))
 
-    def _break_off(self, cause: str) -> None:
+    def _abort(self, cause: str) -> None:
         self.cancel()
-        self._end(self._broken(cause))
+        self._end(self._failure_result(cause))
 
-    def _broken(self, cause: str) -> AttemptResult:
+    def _failure_result(self, cause: str) -> AttemptResult:
         if self._tap is not None:
             self._tap.drop_partial()
         ending = Ending.cut if self.has_begun else Ending.lost
         return AttemptResult(ending, self._head, cause=cause)
 
-    def _end(self, ended: AttemptResult) -> None:
+    def _end(self, outcome: AttemptResult) -> None:
         if not self.finished.done():
-            self.finished.set_result(ended)
+            self.finished.set_result(outcome)
 
 
-def _fault_of(head: AnswerHead) -> str:
+def _rejection_of(head: AnswerHead) -> str:
     """Return why an answer cannot be the server's own, empty where it can."""
     if head.not_run:
         return ''
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class _Asked:
+class _Acquisition:
     """Hold one ticket and who waits for its grant."""
 
     ticket: Ticket
@@ -52,11 +52,11 @@
 
     def __init__(self, policy_for: PolicyLookup, on_placed: OnPlaced) -> None:
         """Start without servers."""
-        self._policy_of = policy_for
+        self._policy_for = policy_for
         self._on_placed = on_placed
         self._loop = asyncio.get_running_loop()
         self._brokers: dict[str, Broker] = {}
-        self._asked: dict[str, _Asked] = {}
+        self._acquisitions: dict[str, _Acquisition] = {}
         self._views: dict[str, ServerView] = {}
 
     @property
@@ -94,11 +94,11 @@
 
         :raises RefusedError: where the request is given up on; it never ran.
         """
-        asked = _Asked(ticket, self._loop.create_future())
-        self._asked[ticket.ticket_id] = asked
+        acquisition = _Acquisition(ticket, self._loop.create_future())
+        self._acquisitions[ticket.ticket_id] = acquisition
         self._apply(ticket.pool, TicketOpened(ticket))
         try:
-            return await asked.granted
+            return await acquisition.granted
         except asyncio.CancelledError:
             self.release(ticket, failed=False)
             raise
@@ -119,7 +119,7 @@
         :param failed: whether the server failed the request.
         :param erred: whether it answered with an error of its own.
         """
-        if self._asked.pop(ticket.ticket_id, None) is not None:
+        if self._acquisitions.pop(ticket.ticket_id, None) is not None:
             released = GrantReleased(ticket.ticket_id, failed, erred)
             self._apply(ticket.pool, released)
 
@@ -132,7 +132,7 @@
             by_pool.setdefault(view.pool, []).append(view)
         for pool in self._brokers.keys() | by_pool.keys():
             # A configuration may describe engines that were listed before.
-            memory_tokens = self._policy_of(pool).memory_tokens
+            memory_tokens = self._policy_for(pool).memory_tokens
             self.broker(pool).table.cache.resize(memory_tokens)
             self._apply(pool, ServersListed(tuple(by_pool.get(pool, ()))))
 
@@ -151,7 +151,7 @@
         """Return the broker of a service."""
         found = self._brokers.get(pool)
         if found is None:
-            found = Broker(self._policy_of(pool))
+            found = Broker(self._policy_for(pool))
             self._brokers[pool] = found
         return found
 
@@ -164,25 +164,27 @@
 
     def _apply(self, pool: str, event: Event) -> None:
         for command in self.broker(pool).apply(event, self._loop.time()):
-            self._take(command)
+            self._execute(command)
 
-    def _take(self, command: Command) -> None:
-        asked = self._asked.get(command.ticket_id)
-        if asked is None:
+    def _execute(self, command: Command) -> None:
+        acquisition = self._acquisitions.get(command.ticket_id)
+        if acquisition is None:
             return
         if isinstance(command, Granted):
-            self._grant(asked, command)
+            self._grant(acquisition, command)
         elif isinstance(command, Refused):
-            self._asked.pop(command.ticket_id)
-            self._refuse(asked, command)
+            self._acquisitions.pop(command.ticket_id)
+            self._refuse(acquisition, command)
 
-    def _grant(self, asked: _Asked, command: Granted) -> None:
+    def _grant(self, acquisition: _Acquisition, command: Granted) -> None:
         view = self._views.get(command.server)
-        if asked.granted.done():
+        if acquisition.granted.done():
             return
         if view is None:
-            self.release(asked.ticket, failed=False)
-            asked.granted.set_exception(RefusedError(Code.no_backend_server))
+            self.release(acquisition.ticket, failed=False)
+            acquisition.granted.set_exception(
+                RefusedError(Code.no_backend_server)
+            )
             return
         if command.pieces:
             self._on_placed(
@@ -190,15 +192,15 @@
                     command.server,
                     command.pieces,
                     command.unread,
-                    asked.ticket.tier,
-                    is_tight=asked.ticket.is_tight,
+                    acquisition.ticket.tier,
+                    is_tight=acquisition.ticket.is_tight,
                 )
             )
-        asked.granted.set_result(view)
+        acquisition.granted.set_result(view)
 
-    def _refuse(self, asked: _Asked, command: Refused) -> None:
-        if not asked.granted.done():
-            asked.granted.set_exception(
+    def _refuse(self, acquisition: _Acquisition, command: Refused) -> None:
+        if not acquisition.granted.done():
+            acquisition.granted.set_exception(
                 RefusedError(
                     command.code,
                     retry_after_ms=command.retry_after_ms,
--- a/src/siskinpass/process/fleet/budgets.py
+++ b/src/siskinpass/process/fleet/budgets.py
@@ -15,12 +15,12 @@
 
     def __init__(
         self,
-        make: Callable[[], RetryWindow],
-        instances: Callable[[], int],
+        make_window: Callable[[], RetryWindow],
+        instance_count: Callable[[], int],
     ) -> None:
         """Start with unused budgets."""
-        self._make = make
-        self._instances = instances
+        self._make_window = make_window
+        self._instance_count = instance_count
         self._loop = asyncio.get_running_loop()
         self._windows: dict[str, RetryWindow] = {}
 
@@ -30,11 +30,13 @@
 
     def spend(self, service: str) -> bool:
         """Take one send, and tell whether there was one."""
-        return self._window(service).spend(self._loop.time(), self._instances())
+        return self._window(service).spend(
+            self._loop.time(), self._instance_count()
+        )
 
     def _window(self, service: str) -> RetryWindow:
         window = self._windows.get(service)
         if window is None:
-            window = self._make()
+            window = self._make_window()
             self._windows[service] = window
         return window
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -45,11 +45,11 @@
 MS_PER_S = 1000
 # Callers wait at most a third of the time they have left; this is well inside
 # it for the shortest time limit of the sheets.
-RETURN_LEAST_S = 0.1
-RETURN_SPREAD_S = 0.3
+MIN_RETRY_AFTER_S = 0.1
+RETRY_AFTER_JITTER_S = 0.3
 # Less time than this is not worth an attempt: no answer comes in it.
-LEFT_LEAST_S = 0.02
-DEFAULT_PATIENCE_S = 60.0
+MIN_ATTEMPT_S = 0.02
+DEFAULT_TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,9 +73,9 @@
 class Forwarder:
     """Start and follow one task for each request."""
 
-    def __init__(self, tools: ForwardContext) -> None:
+    def __init__(self, context: ForwardContext) -> None:
         """Start without requests."""
-        self._tools = tools
+        self._context = context
         self._numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -86,8 +86,10 @@
 
     def serve(self, caller: HttpCaller, request: WireRequest) -> None:
         """Start to answer a request."""
-        run = RequestHandler(self._tools, caller, request, next(self._numbers))
-        task = asyncio.get_running_loop().create_task(run.run())
+        request_handler = RequestHandler(
+            self._context, caller, request, next(self._numbers)
+        )
+        task = asyncio.get_running_loop().create_task(request_handler.run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         caller.on_lost = task.cancel
@@ -98,13 +100,13 @@
 
     def __init__(
         self,
-        tools: ForwardContext,
+        context: ForwardContext,
         caller: HttpCaller,
         request: WireRequest,
         number: int,
     ) -> None:
         """Decode the request."""
-        self._tools = tools
+        self._context = context
         self._caller = caller
         self._call = decode_call(request)
         self._number = number
@@ -115,7 +117,7 @@
         self._has_begun = False
         self._avoid = ''
         self._server = ''
-        self._node = ''
+        self._route_name = ''
         self._ticket: Ticket | None = None
 
     async def run(self) -> None:
@@ -123,11 +125,11 @@
         try:
             await self._admit()
         except asyncio.CancelledError:
-            self._note('The caller left.', Code.caller_left)
+            self._record_failure('The caller left.', Code.caller_left)
         except RefusedError as error:
             self._end_refused(error)
         except Exception as error:
-            self._tools.log.warn(
+            self._context.log.warn(
                 'A request failed in this process.',
                 call=self._call.call_id,
                 cause=repr(error),
@@ -138,7 +140,7 @@
     def begin(self, head: AnswerHead) -> None:
         """Pass on the head of a stream, once for all attempts."""
         if self._ticket is not None:
-            self._tools.assigner.note_prompt_read(self._ticket)
+            self._context.assigner.note_prompt_read(self._ticket)
             self._ticket = None
         if not self._has_begun:
             self._has_begun = True
@@ -149,7 +151,7 @@
         self._caller.write_piece(events)
 
     async def _admit(self) -> None:
-        table = self._tools.table()
+        table = self._context.table()
         if table is None:
             raise RefusedError(Code.no_tree_in_force)
         route = table.find(self._call.host, self._call.request.path)
@@ -170,11 +172,11 @@
         workspace: Workspace | None,
         table: RouteTable,
     ) -> None:
-        patience_s = self._call.patience_s or DEFAULT_PATIENCE_S
+        patience_s = self._call.patience_s or DEFAULT_TIMEOUT_S
         deadline_s = self._started_s + min(patience_s, route.timeout_s)
         service = route.service_at(random.random())
-        self._tools.note_request(service)
-        self._node = route.name
+        self._context.note_request(service)
+        self._route_name = route.name
         if route.is_stream:
             self._tap = EventTap(self._started_s)
         plan = _Plan(route, workspace, service, deadline_s, table)
@@ -182,20 +184,20 @@
             async with asyncio.timeout_at(deadline_s):
                 await self._attempt_all(plan)
         except TimeoutError:
-            self._end_late(plan)
+            self._end_timed_out(plan)
 
     async def _attempt_all(self, plan: '_Plan') -> None:
         while True:
-            ended = await self._attempt(plan)
-            if ended.is_success:
-                self._deliver(plan, ended)
+            outcome = await self._attempt(plan)
+            if outcome.is_success:
+                self._deliver(plan, outcome)
                 return
-            step = self._next_step(plan, ended)
-            self._log_step(plan, ended, step)
+            step = self._next_step(plan, outcome)
+            self._log_step(plan, outcome, step)
             if step not in {Step.resend, Step.resume}:
-                self._finish(step, ended)
+                self._finish(step, outcome)
                 return
-            self._tools.metrics.retried(_RETRY_CODES[ended.ending])
+            self._context.metrics.retried(_RETRY_CODES[outcome.ending])
 
     async def _attempt(self, plan: '_Plan') -> AttemptResult:
         ticket = make_ticket(
@@ -203,21 +205,21 @@
             plan,
             Attempt(self._ticket_id(), _now_s(), self._avoid),
         )
-        view = await self._tools.assigner.acquire(ticket)
+        view = await self._context.assigner.acquire(ticket)
         self._server = view.name
         self._ticket = ticket
         self._log_grant(ticket, view)
-        ended = None
+        outcome = None
         try:
-            ended = await self._send(plan, ticket, view)
+            outcome = await self._send(plan, ticket, view)
         finally:
-            self._release(ticket, ended)
+            self._release(ticket, outcome)
         self._avoid = view.name
-        return ended
+        return outcome
 
-    def _release(self, ticket: Ticket, ended: AttemptResult | None) -> None:
-        ending = ended.ending if ended else None
-        self._tools.assigner.release(
+    def _release(self, ticket: Ticket, outcome: AttemptResult | None) -> None:
+        ending = outcome.ending if outcome else None
+        self._context.assigner.release(
             ticket,
             failed=ending in {Ending.unsent, Ending.lost, Ending.cut},
             erred=ending in {Ending.failed, Ending.declined},
@@ -230,13 +232,13 @@
         view: ServerView,
     ) -> AttemptResult:
         try:
-            connection = await self._tools.backends.connect(
+            connection = await self._context.backends.connect(
                 view.address,
                 fresh=False,
             )
         except ConnectError as error:
             return AttemptResult(Ending.unsent, cause=str(error))
-        taker = AnswerReceiver(self._call.call_id, self._tap, self)
+        receiver = AnswerReceiver(self._call.call_id, self._tap, self)
         order = SendOrder(
             server=view.name,
             left_s=plan.deadline_s - _now_s(),
@@ -244,71 +246,73 @@
             urgency=engine_urgency(ticket.tier),
             resume_after=self._resume_after(plan.route),
         )
-        if order.left_s < LEFT_LEAST_S:
+        if order.left_s < MIN_ATTEMPT_S:
             connection.cancel()
             return AttemptResult(Ending.unsent, cause='no time left')
-        with self._following(taker):
-            taker.start(connection, encode_send(self._call, order))
-            return await taker.wait(
+        with self._cancel_on_exit(receiver):
+            receiver.start(connection, encode_send(self._call, order))
+            return await receiver.wait(
                 silence_limits(plan.route, self._sends),
             )
 
     @contextmanager
-    def _following(self, taker: AnswerReceiver) -> Generator[None, None, None]:
+    def _cancel_on_exit(
+        self, receiver: AnswerReceiver
+    ) -> Generator[None, None, None]:
         """Stop the server's work if the request ends before its answer."""
         self._in_flight = True
-        self._caller.on_flow = taker.set_flow
+        self._caller.on_flow = receiver.set_flow
         try:
             yield
         finally:
-            taker.cancel()
+            receiver.cancel()
             self._caller.on_flow = None
         self._in_flight = False
 
-    def _next_step(self, plan: '_Plan', ended: AttemptResult) -> Step:
-        if ended.ending in {Ending.unsent, Ending.declined}:
+    def _next_step(self, plan: '_Plan', outcome: AttemptResult) -> Step:
+        if outcome.ending in {Ending.unsent, Ending.declined}:
             self._sends = Sends(self._sends.run, self._sends.not_run + 1)
         else:
             self._sends = Sends(self._sends.run + 1, self._sends.not_run)
-        step = decide(plan.route, ended.ending, self._sends)
-        if step in {Step.resend, Step.resume} and not self._may_go_on(
+        step = decide(plan.route, outcome.ending, self._sends)
+        if step in {Step.resend, Step.resume} and not self._may_retry(
             plan,
-            ended,
+            outcome,
         ):
-            return give_up(ended.ending, has_run=self._sends.run > 0)
+            return give_up(outcome.ending, has_run=self._sends.run > 0)
         return step
 
-    def _may_go_on(self, plan: '_Plan', ended: AttemptResult) -> bool:
-        if plan.deadline_s - _now_s() < LEFT_LEAST_S:
+    def _may_retry(self, plan: '_Plan', outcome: AttemptResult) -> bool:
+        if plan.deadline_s - _now_s() < MIN_ATTEMPT_S:
             return False
-        if ended.ending is Ending.unsent:
+        if outcome.ending is Ending.unsent:
             return True
-        return self._tools.may_retry(plan.service)
+        return self._context.may_retry(plan.service)
 
-    def _deliver(self, plan: '_Plan', ended: AttemptResult) -> None:
+    def _deliver(self, plan: '_Plan', outcome: AttemptResult) -> None:
         if self._has_begun:
             self._caller.end_stream()
         else:
             self._caller.answer(
-                ended.head.status, ended.head.headers, ended.body
+                outcome.head.status, outcome.head.headers, outcome.body
             )
-        self._note_answer()
+        self._record_answer()
 
-    def _note_answer(self) -> None:
-        metrics, tap = self._tools.metrics, self._tap
+    def _record_answer(self) -> None:
+        metrics, tap = self._context.metrics, self._tap
         events = tap.count if tap else 0
         first_ms = tap.first_ms if tap else 0
         pause_ms = tap.pause_ms if tap else 0
         age_s = self._age_s()
-        metrics.answered(self._node, events)
-        metrics.ended(self._node, ANSWERED, age_s)
+        metrics.answered(self._route_name, events)
+        metrics.ended(self._route_name, ANSWERED, age_s)
         if tap is not None:
             metrics.streamed(
-                self._node,
+                self._route_name,
                 first_ms / MS_PER_S,
                 pause_ms / MS_PER_S,
             )
-        self._tools.log.often(
+        self._context.log.often(
             'A request was answered.',
             call=self._call.call_id,
             server=self._server,
@@ -318,19 +322,19 @@
             age_ms=_in_ms(age_s),
         )
 
-    def _finish(self, step: Step, ended: AttemptResult) -> None:
+    def _finish(self, step: Step, outcome: AttemptResult) -> None:
         if self._has_begun or step is Step.cut:
             self._cut(Code.stream_cut)
-        elif step is Step.pass_on and not ended.head.promises_not_run:
+        elif step is Step.pass_on and not outcome.head.promises_not_run:
             self._caller.answer(
-                ended.head.status, ended.head.headers, ended.body
+                outcome.head.status, outcome.head.headers, outcome.body
             )
         elif step is Step.tell_not_run:
             self._refuse(Code.no_backend_server)
         else:
             self._refuse(Code.outcome_unknown)
 
-    def _end_late(self, plan: '_Plan') -> None:
+    def _end_timed_out(self, plan: '_Plan') -> None:
         if self._has_begun:
             self._cut(Code.stream_silent)
         elif self._in_flight or self._sends.run:
@@ -348,39 +352,39 @@
             self._refuse(error.code, error.retry_after_ms)
 
     def _cut(self, code: Code) -> None:
-        self._note(STREAM_CUT, code)
+        self._record_failure(STREAM_CUT, code)
         self._caller.cut_stream()
 
     def _refuse(self, code: Code, retry_after_ms: int = 0) -> None:
         meaning = MEANINGS[code]
-        self._note(REQUEST_REFUSED, code)
+        self._record_failure(REQUEST_REFUSED, code)
         headers: tuple[tuple[bytes, bytes], ...] = ()
         if meaning.status == STATUS_UNAVAILABLE:
-            wait_s = max(RETURN_LEAST_S, retry_after_ms / MS_PER_S)
-            wait_s += random.uniform(0, RETURN_SPREAD_S)
+            wait_s = max(MIN_RETRY_AFTER_S, retry_after_ms / MS_PER_S)
+            wait_s += random.uniform(0, RETRY_AFTER_JITTER_S)
             headers = ((b'Retry-After', b'%.3f' % wait_s),)
         self._caller.answer(meaning.status, headers, meaning.text.encode())
 
-    def _note(self, sentence: str, code: Code) -> None:
+    def _record_failure(self, sentence: str, code: Code) -> None:
         age_s = self._age_s()
-        self._tools.metrics.refused(code)
-        self._tools.metrics.ended(self._node, code.name, age_s)
-        self._tools.log.note(
+        self._context.metrics.refused(code)
+        self._context.metrics.ended(self._route_name, code.name, age_s)
+        self._context.log.note(
             sentence,
             call=self._call.call_id,
             code=int(code),
             reason=code.name,
-            route=self._node,
+            route=self._route_name,
             server=self._server,
-            waiting=self._tools.assigner.waiting,
+            waiting=self._context.assigner.waiting,
             age_ms=_in_ms(age_s),
         )
 
     def _log_grant(self, ticket: Ticket, view: ServerView) -> None:
-        load = self._tools.assigner.server_load(ticket, view.name)
+        load = self._context.assigner.server_load(ticket, view.name)
         waited_s = _now_s() - ticket.opened_s
-        self._tools.metrics.waited(ticket.node, waited_s)
-        self._tools.log.often(
+        self._context.metrics.waited(ticket.node, waited_s)
+        self._context.log.often(
             'A request goes to a server.',
             call=self._call.call_id,
             route=ticket.node,
@@ -394,17 +398,17 @@
         )
 
     def _log_step(
-        self, plan: '_Plan', ended: AttemptResult, step: Step
+        self, plan: '_Plan', outcome: AttemptResult, step: Step
     ) -> None:
-        self._tools.log.note(
+        self._context.log.note(
             ATTEMPT_FAILED,
             call=self._call.call_id,
             route=plan.route.name,
             version=plan.table.version,
             server=self._server,
-            ending=ended.ending.value,
-            cause=ended.cause,
-            status=ended.head.status if ended.head else 0,
+            ending=outcome.ending.value,
+            cause=outcome.cause,
+            status=outcome.head.status if outcome.head else 0,
             step=step.value,
             age_ms=_in_ms(self._age_s()),
         )
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -20,7 +20,7 @@
 
 # An engine answers between two steps, which take up to 0.2 s while it is slow;
 # later than this, requests have taught more than the answer tells.
-ANSWER_S = 1.0
+ANSWER_TIMEOUT_S = 1.0
 # A list holds up the engine's work. Each instance of a large fleet asks only
 # some engines, so that none gets more calls than on the users' smaller sites.
 MAX_ENGINES = 12
@@ -39,24 +39,24 @@
     def __init__(
         self,
         backends: BackendPool,
-        tell: Callable[[PromptPlaced], None],
-        answer_s: float = ANSWER_S,
+        on_parts: Callable[[PromptPlaced], None],
+        timeout_s: float = ANSWER_TIMEOUT_S,
     ) -> None:
         """Ask nothing yet."""
         self._backends = backends
-        self._tell = tell
-        self._answer_s = answer_s
+        self._on_parts = on_parts
+        self._timeout_s = timeout_s
         self._log = PartLog('kept-parts')
 
-    async def learn(self, engines: Iterable[ServerView]) -> None:
+    async def load(self, engines: Iterable[ServerView]) -> None:
         """Ask all engines at once."""
         known = tuple(engines)
-        asked = random.sample(known, min(len(known), MAX_ENGINES))
-        await asyncio.gather(*(self._learn_one(one) for one in asked))
+        sampled = random.sample(known, min(len(known), MAX_ENGINES))
+        await asyncio.gather(*(self._load_one(one) for one in sampled))
 
-    async def _learn_one(self, engine: ServerView) -> None:
+    async def _load_one(self, engine: ServerView) -> None:
         try:
-            parts = decode_kept_parts(await self._ask(engine.address))
+            parts = decode_kept_parts(await self._fetch(engine.address))
         except SiskinpassError as error:
             self._log.warn(
                 'An engine does not tell what it keeps.',
@@ -64,19 +64,19 @@
                 cause=str(error),
             )
             return
-        self._tell(PromptPlaced(engine.name, hash_parts(Prompt(parts))))
+        self._on_parts(PromptPlaced(engine.name, hash_parts(Prompt(parts))))
         self._log.note(
             'An engine told what it keeps.',
             server=engine.name,
             parts=len(parts),
         )
 
-    async def _ask(self, address: str) -> bytes:
+    async def _fetch(self, address: str) -> bytes:
         answer = await fetch(
             self._backends,
             address,
             KEPT_PARTS_CALL,
-            self._answer_s,
+            self._timeout_s,
         )
         if answer.status != STATUS_OK:
             raise BackendError(Code.backend_error, f'status {answer.status}')
--- a/src/siskinpass/process/fleet/loads.py
+++ b/src/siskinpass/process/fleet/loads.py
@@ -12,10 +12,10 @@
 from siskinpass.process.logs import PartLog
 from siskinpass.request.ticket import PromptPiece, PromptPlaced, ServerLoad
 
-TELL_EVERY_S = 0.1  # docs/design/platform.md: the sketch's interval
-REPEAT_EVERY_S = 1.0  # unchanged loads are told again, datagrams may be lost
+SEND_INTERVAL_S = 0.1  # docs/design/platform.md: the sketch's interval
+REPEAT_INTERVAL_S = 1.0  # unchanged loads are told again, datagrams may be lost
 NS_PER_MS = 1_000_000
-EXPIRE_S = 3 * REPEAT_EVERY_S
+EXPIRY_S = 3 * REPEAT_INTERVAL_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,8 +25,8 @@
     :param order: counts up with each report of one process.
     """
 
-    order: int
-    heard_s: float
+    sequence: int
+    received_s: float
     loads: Mapping[str, ServerLoad]
 
 
@@ -37,25 +37,25 @@
         """Start with nothing heard."""
         self._reports: dict[str, LoadReport] = {}
 
-    def hear(self, name: str, report: LoadReport) -> None:
+    def update(self, name: str, report: LoadReport) -> None:
         """Take in a report; one that was overtaken is dropped."""
         known = self._reports.get(name)
-        if known is None or report.order > known.order:
+        if known is None or report.sequence > known.sequence:
             self._reports[name] = report
 
     def expire(self, now_s: float) -> None:
         """Forget the reports of instances that fell silent."""
         for name, report in tuple(self._reports.items()):
-            if now_s - report.heard_s > EXPIRE_S:
+            if now_s - report.received_s > EXPIRY_S:
                 self._reports.pop(name)
 
     def total(self) -> dict[str, ServerLoad]:
         """Return the sum of all reports."""
-        summed: dict[str, ServerLoad] = {}
+        totals: dict[str, ServerLoad] = {}
         for report in self._reports.values():
             for server, load in report.loads.items():
-                summed[server] = summed.get(server, ServerLoad()) + load
-        return summed
+                totals[server] = totals.get(server, ServerLoad()) + load
+        return totals
 
 
 class LoadExchange(asyncio.DatagramProtocol):
@@ -83,13 +83,13 @@
         self._on_loads = on_loads
         self._on_placed = on_placed
         self._loop = asyncio.get_running_loop()
-        self._heard = PeerLoadTable()
+        self._peer_loads = PeerLoadTable()
         self._log = PartLog('loads')
-        self._told: Mapping[str, ServerLoad] = {}
-        self._told_s = 0.0
-        self._has_news = False
+        self._sent_loads: Mapping[str, ServerLoad] = {}
+        self._sent_s = 0.0
+        self._has_updates = False
         # A restarted process has to count on from where it was.
-        self._order = time.time_ns() // NS_PER_MS
+        self._sequence = time.time_ns() // NS_PER_MS
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the socket."""
@@ -98,21 +98,23 @@
     def datagram_received(self, datagram: bytes, addr: object) -> None:
         """Take in one report."""
         try:
-            self._take(orjson.loads(datagram))
+            self._decode(orjson.loads(datagram))
         except (ValueError, TypeError, KeyError) as error:
             self._log.warn('A load report cannot be read.', cause=str(error))
 
-    def _take(self, told: Any) -> None:
-        if isinstance(told, dict):
-            self._on_placed(_decode_placed(told))
+    def _decode(self, message: Any) -> None:
+        if isinstance(message, dict):
+            self._on_placed(_decode_placed(message))
             return
-        name, order, rows = told
+        name, sequence, rows = message
         loads = {
             server: ServerLoad(running, tight, tuple(unread))
             for server, running, tight, unread in rows
         }
-        self._heard.hear(name, LoadReport(order, self._loop.time(), loads))
-        self._has_news = True
+        self._peer_loads.update(
+            name, LoadReport(sequence, self._loop.time(), loads)
+        )
+        self._has_updates = True
 
     def send_placement(self, placed: PromptPlaced) -> None:
         """Tell at once of a prompt that this instance placed."""
@@ -130,38 +132,41 @@
     async def run(self) -> None:
         """Tell and take in reports at an even pace."""
         while True:
-            await asyncio.sleep(TELL_EVERY_S)
-            self._tell()
-            self._heard.expire(self._loop.time())
-            if self._has_news:
-                self._has_news = False
-                self._on_loads(self._heard.total())
-
-    def _tell(self) -> None:
+            await asyncio.sleep(SEND_INTERVAL_S)
+            self._send_report()
+            self._peer_loads.expire(self._loop.time())
+            if self._has_updates:
+                self._has_updates = False
+                self._on_loads(self._peer_loads.total())
+
+    def _send_report(self) -> None:
         now_s = self._loop.time()
         loads = self._own_loads()
-        if loads == self._told and now_s - self._told_s < REPEAT_EVERY_S:
+        if (
+            loads == self._sent_loads
+            and now_s - self._sent_s < REPEAT_INTERVAL_S
+        ):
             return
-        self._told = loads
-        self._told_s = now_s
-        self._order += 1
+        self._sent_loads = loads
+        self._sent_s = now_s
+        self._sequence += 1
         rows = [
             (server, load.running, load.tight, load.unread)
             for server, load in loads.items()
         ]
-        self._send(orjson.dumps((self._own, self._order, rows)))
+        self._send(orjson.dumps((self._own, self._sequence, rows)))
 
     def _send(self, datagram: bytes) -> None:
         for address in self._peers():
             self._transport.sendto(datagram, address)
 
 
-def _decode_placed(told: dict[str, Any]) -> PromptPlaced:
-    pieces = tuple(starmap(PromptPiece, told['pieces']))
+def _decode_placed(message: dict[str, Any]) -> PromptPlaced:
+    pieces = tuple(starmap(PromptPiece, message['pieces']))
     return PromptPlaced(
-        told['server'],
+        message['server'],
         pieces,
-        told['unread'],
-        told['tier'],
-        told['is_tight'],
+        message['unread'],
+        message['tier'],
+        message['is_tight'],
     )
--- a/src/siskinpass/process/fleet/members.py
+++ b/src/siskinpass/process/fleet/members.py
@@ -29,7 +29,7 @@
         self._settings = settings
         self._store = store
         self._log = PartLog('member')
-        self._most = 1
+        self._max_seen = 1
         self._own = Member(
             settings.name,
             settings.peers,
@@ -41,13 +41,13 @@
             Membership(self._own, MembershipPolicy(), random.Random()),
             # Heartbeats of another deployment are told apart by their hash.
             settings.store,
-            self._count,
+            self._update_max_seen,
         )
 
     @property
     def max_seen(self) -> int:
         """Return the most instances that were known at once."""
-        return self._most
+        return self._max_seen
 
     @property
     def serving(self) -> list[Member]:
@@ -95,9 +95,9 @@
         listed = await self._store.list_kind(INSTANCES_KIND)
         found = [decode_member(entry.body) for entry in listed.stored]
         members = tuple(member for member in found if member is not None)
-        self._most = max(self._most, len(members))
+        self._max_seen = max(self._max_seen, len(members))
         self.gossip.list_seeds(members)
 
-    def _count(self) -> None:
+    def _update_max_seen(self) -> None:
         live = len(self.gossip.membership.live)
-        self._most = max(self._most, live)
+        self._max_seen = max(self._max_seen, live)
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -34,13 +34,13 @@
 LOADS_PORT_STEP = 2  # from the port of the heartbeats to that of the loads
 # Kept connections to backend servers are reused for long, new ones are dear;
 # the server's own Keep-Alive shortens this.
-IDLE_MOST = 64
-BACKEND_POOL = PoolPolicy(connect_s=1.0, idle_s=60.0, idle_most=IDLE_MOST)
+MAX_IDLE = 64
+BACKEND_POOL = PoolPolicy(connect_s=1.0, idle_s=60.0, idle_most=MAX_IDLE)
 # A directory answer is kept for up to three times as long; the shorter, the
 # sooner callers leave an instance that stops.
 DIRECTORY_TTL_S = 1
-KEPT_ANSWERS = 3
-CROSSING_S = 0.3  # requests that were sent before a listener closed arrive
+CACHED_TTLS = 3
+LATE_ARRIVAL_S = 0.3  # requests that were sent before a listener closed arrive
 EXIT_MARGIN_S = 0.3  # before the kill that follows the grace time
 STATUS_OK = 200
 STATUS_NOT_FOUND = 404
@@ -58,7 +58,7 @@
         self._loop = asyncio.get_running_loop()
         self._log = PartLog('node')
         self._metrics = Metrics()
-        self._directory_s = min(
+        self._directory_ttl_s = min(
             DIRECTORY_TTL_S,
             settings.operator_bounds.directory_s,
         )
@@ -66,12 +66,12 @@
         self._callers: set[HttpCaller] = set()
         self._listeners: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._store = StoreClient(settings.store, self._note_store_call)
+        self._store = StoreClient(settings.store, self._count_store_call)
         self._members = FleetMembers(settings, self._store)
-        self._assigner = Assigner(self._policy_of, self._tell_placed)
+        self._assigner = Assigner(self._policy_for, self._send_placement)
         self._state = StoredState(self._assigner.set_servers)
         self._backends = BackendPool(self._loop, BACKEND_POOL)
-        self._forwarder = Forwarder(self._tools())
+        self._forwarder = Forwarder(self._forward_context())
         self._loads = LoadExchange(
             settings.name,
             self._own_loads,
@@ -97,7 +97,7 @@
             await stopping
         await self._drain()
 
-    def _learn_kept_parts(self) -> None:
+    def _load_kept_parts(self) -> None:
         """Ask the engines, which may have run before this process."""
         if self._settings.is_first_start:
             return
@@ -107,12 +107,12 @@
             for view in self._assigner.servers
             if view.pool in services and services[view.pool].engine
         ]
-        learner = KeptPartsLoader(
+        loader = KeptPartsLoader(
             self._backends, self._assigner.record_placement
         )
-        self._start(learner.learn(engines))
+        self._start(loader.load(engines))
 
-    def _tools(self) -> ForwardContext:
+    def _forward_context(self) -> ForwardContext:
         bounds = self._settings.operator_bounds.retries
         budgets = RetryBudgets(
             partial(RetryWindow, bounds.ratio, bounds.slack, bounds.window_s),
@@ -128,8 +128,8 @@
         )
 
     def _watch_signals(self) -> None:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self._stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self._stopping.set)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _start(self, work: Coroutine[None, None, None]) -> None:
@@ -137,11 +137,11 @@
 
     def _follow_store(self) -> None:
         wait_s = watch_wait_s(self._settings.operator_bounds.contact_s)
-        for kind, tell in (
+        for kind, callback in (
             (CONFIG_KIND, self._state.apply_config),
             (WORKERS_KIND, self._state.apply_workers),
         ):
-            self._start(KindWatch(self._store, kind, wait_s, tell).run())
+            self._start(KindWatch(self._store, kind, wait_s, callback).run())
         self._start(self._members.register())
 
     async def _open_peers(self) -> None:
@@ -167,7 +167,7 @@
         )
 
     async def _open_callers(self) -> None:
-        self._learn_kept_parts()
+        self._load_kept_parts()
         settings = self._settings
         await self._listen(settings.callers, self._forwarder.serve)
         await self._listen(settings.directory, self._serve_directory)
@@ -200,10 +200,10 @@
             caller.is_leaving = True
         self._start(self._members.leave(self._state.version))
         # Callers that kept an answer of the directory still come.
-        await asyncio.sleep(KEPT_ANSWERS * self._directory_s)
+        await asyncio.sleep(CACHED_TTLS * self._directory_ttl_s)
         for listener in self._listeners:
             listener.close()
-        await asyncio.sleep(CROSSING_S)
+        await asyncio.sleep(LATE_ARRIVAL_S)
         for caller in self._callers:
             caller.leave()
         await self._finish_open(deadline_s - EXIT_MARGIN_S)
@@ -224,13 +224,13 @@
             self._state.pass_time()
             self._callers = {one for one in self._callers if one.is_open}
 
-    def _policy_of(self, pool: str) -> BrokerPolicy:
+    def _policy_for(self, pool: str) -> BrokerPolicy:
         table = self._state.table()
         service = table.services.get(pool) if table else None
         engine = service.engine if service else None
         return fleet_policy(engine.memory_tokens if engine else 0)
 
-    def _tell_placed(self, placed: PromptPlaced) -> None:
+    def _send_placement(self, placed: PromptPlaced) -> None:
         self._loads.send_placement(placed)
 
     def _own_loads(self) -> dict[str, ServerLoad]:
@@ -255,13 +255,13 @@
         caller: HttpCaller,
         request: WireRequest,
     ) -> None:
-        asked = directory.decode_question(request.target.decode('latin-1'))
-        if asked is None:
+        query = directory.decode_question(request.target.decode('latin-1'))
+        if query is None:
             caller.answer(STATUS_NOT_FOUND)
             return
-        told = addresses_near(self._members.serving, asked.zone)
-        body = directory.encode_answer(told, self._directory_s)
+        addresses = addresses_near(self._members.serving, query.zone)
+        body = directory.encode_answer(addresses, self._directory_ttl_s)
         caller.answer(STATUS_OK, (JSON,), body)
 
-    def _note_store_call(self, call: str, outcome: str) -> None:
+    def _count_store_call(self, call: str, outcome: str) -> None:
         self._metrics.store_called(f'{call} {outcome}')
--- a/src/siskinpass/process/fleet/state.py
+++ b/src/siskinpass/process/fleet/state.py
@@ -52,24 +52,24 @@
         """Return the bounds in force for what callers send."""
         return self._table.limits if self._table else CallerLimits()
 
-    def apply_config(self, news: StoreUpdate) -> None:
+    def apply_config(self, update: StoreUpdate) -> None:
         """Take in what the store told of the configuration."""
-        if isinstance(news, StoreUnavailable):
+        if isinstance(update, StoreUnavailable):
             return
-        for stored in news.stored:
+        for stored in update.stored:
             if stored.name == CONFIG_NAME and not stored.is_deleted:
                 self._adopt(stored)
 
-    def apply_workers(self, news: StoreUpdate) -> None:
+    def apply_workers(self, update: StoreUpdate) -> None:
         """Take in what the store told of the backend servers."""
         now_s = self._loop.time()
-        if isinstance(news, StoreUnavailable):
+        if isinstance(update, StoreUnavailable):
             self._servers.lose(now_s)
             return
-        if isinstance(news, Listed):
-            self._servers.list_all(self._views(news.stored), now_s)
-        elif isinstance(news, Changed):
-            for stored in news.stored:
+        if isinstance(update, Listed):
+            self._servers.list_all(self._decode_views(update.stored), now_s)
+        elif isinstance(update, Changed):
+            for stored in update.stored:
                 self._change(stored, now_s)
         self._has_servers = True
         self._on_servers(self._servers.views)
@@ -103,7 +103,9 @@
         self._check_ready()
 
     def _change(self, stored: StoredObject, now_s: float) -> None:
-        views = () if stored.is_deleted else tuple(self._views((stored,)))
+        views = (
+            () if stored.is_deleted else tuple(self._decode_views((stored,)))
+        )
         for view in views:
             self._servers.change(view, now_s)
             self._log.note(
@@ -120,7 +122,9 @@
                 revision=stored.revision,
             )
 
-    def _views(self, stored: Iterable[StoredObject]) -> Iterable[ServerView]:
+    def _decode_views(
+        self, stored: Iterable[StoredObject]
+    ) -> Iterable[ServerView]:
         for entry in stored:
             try:
                 yield decode_worker(entry.name, entry.body)
--- a/src/siskinpass/process/fleet/store_client.py
+++ b/src/siskinpass/process/fleet/store_client.py
@@ -25,9 +25,9 @@
 # A watch that is silent for longer than it was asked to wait is given up.
 WATCH_MARGIN_S = 0.5
 CONNECT_TIMEOUT_S = 0.5
-IDLE_KEPT_S = 10.0
-IDLE_KEPT_MOST = 4
-STORE_POOL = PoolPolicy(CONNECT_TIMEOUT_S, IDLE_KEPT_S, IDLE_KEPT_MOST)
+IDLE_TIMEOUT_S = 10.0
+MAX_IDLE = 4
+STORE_POOL = PoolPolicy(CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S, MAX_IDLE)
 
 
 class StoreClient:
@@ -44,7 +44,7 @@
     ) -> None:
         """Prepare a pool; no connection is opened yet."""
         self._address = address
-        self._note_call = on_call
+        self._on_call = on_call
         self._pool = BackendPool(asyncio.get_running_loop(), STORE_POOL)
 
     async def list_kind(self, kind: str) -> objects.Page:
@@ -115,15 +115,15 @@
     async def _read(
         self, call: str, path: str, timeout_s: float
     ) -> WholeAnswer:
-        answer = await self._noted(call, 'GET', path, b'', timeout_s)
+        answer = await self._call(call, 'GET', path, b'', timeout_s)
         _check(answer, objects.STATUS_OK, objects.STATUS_GONE)
         return answer
 
     async def _write(self, method: str, path: str, body: bytes) -> WholeAnswer:
         call = method.lower()
-        return await self._noted(call, method, path, body, CALL_TIMEOUT_S)
+        return await self._call(call, method, path, body, CALL_TIMEOUT_S)
 
-    async def _noted(
+    async def _call(
         self,
         call: str,
         method: str,
@@ -135,12 +135,12 @@
         try:
             answer = await fetch(self._pool, self._address, request, timeout_s)
         except BackendError as error:
-            self._note_call(call, Code.store_down.name)
+            self._on_call(call, Code.store_down.name)
             sent = not isinstance(error, ConnectError)
-            unsure = sent and method != 'GET'
-            failure = StoreUnconfirmedError if unsure else StoreError
+            is_unconfirmed = sent and method != 'GET'
+            failure = StoreUnconfirmedError if is_unconfirmed else StoreError
             raise failure(Code.store_down, str(error)) from error
-        self._note_call(call, str(answer.status))
+        self._on_call(call, str(answer.status))
         return answer
 
     def _encode(self, method: str, path: str, body: bytes) -> bytes:
--- a/src/siskinpass/process/fleet/tickets.py
+++ b/src/siskinpass/process/fleet/tickets.py
@@ -8,11 +8,11 @@
 from siskinpass.request.ticket import PromptPiece, Ticket
 from siskinpass.version.routes import Route, RouteTable
 
-URGENCY_MOST = 9
+MAX_URGENCY = 9
 KEY_BYTES = 8
 # A request waits for a server for at most this part of the time that its caller
 # waits: a late answer is worth less, but one that is refused is worth nothing.
-PATIENCE_PART = 0.4
+WAIT_FRACTION = 0.4
 SHARE = 0.1
 
 
@@ -51,7 +51,7 @@
     """Return the ticket of one attempt."""
     route = plan.route
     prompt = call.prompt
-    left_s = plan.deadline_s - attempt.now_s
+    remaining_s = plan.deadline_s - attempt.now_s
     return Ticket(
         ticket_id=attempt.ticket_id,
         entry='',
@@ -60,7 +60,7 @@
         tier=plan.tier,
         opened_s=attempt.now_s,
         target_s=route.target_s,
-        patience_s=left_s * PATIENCE_PART,
+        patience_s=remaining_s * WAIT_FRACTION,
         share=SHARE,
         pieces=hash_parts(prompt),
         pausable=False,
@@ -79,7 +79,7 @@
 
 def engine_urgency(tier: int) -> int:
     """Return the engine's urgency for a tier."""
-    return min(URGENCY_MOST, max(0, tier))
+    return min(MAX_URGENCY, max(0, tier))
 
 
 def _hash(key: str) -> int:
--- a/src/siskinpass/process/fleet/watch.py
+++ b/src/siskinpass/process/fleet/watch.py
@@ -13,9 +13,9 @@
 # An answer that was lost leaves its connection open and silent. A watch has to
 # be asked anew within the time after which an instance counts as in touch
 # again, less what the listing that follows may take.
-LISTING_S = 0.1
-RETRY_LEAST_S = 0.1
-RETRY_MOST_S = 0.6
+LIST_MARGIN_S = 0.1
+MIN_RETRY_S = 0.1
+MAX_RETRY_S = 0.6
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
     :param contact_s: calm time after which an instance counts as in touch.
     """
-    return contact_s - LISTING_S - WATCH_MARGIN_S
+    return contact_s - LIST_MARGIN_S - WATCH_MARGIN_S
 
 
 class KindWatch:
@@ -60,12 +60,12 @@
         store: StoreClient,
         kind: str,
         wait_s: float,
-        tell: Callable[[StoreUpdate], None],
+        on_update: Callable[[StoreUpdate], None],
     ) -> None:
         """Start without a revision."""
         self._store = store
         self._kind = kind
-        self._tell = tell
+        self._on_update = on_update
         self._wait_s = wait_s
         self._log = PartLog('store')
         self._revision: int | None = None
@@ -77,16 +77,16 @@
             try:
                 await self._step()
             except (StoreError, FormatError) as error:
-                self._lose(error)
-                await asyncio.sleep(self._pause_s())
+                self._handle_failure(error)
+                await asyncio.sleep(self._backoff_s())
             else:
-                self._regain()
+                self._handle_success()
 
     async def _step(self) -> None:
         if self._revision is None:
             page = await self._store.list_kind(self._kind)
             self._revision = page.revision
-            self._tell(Listed(page.stored))
+            self._on_update(Listed(page.stored))
             return
         page = await self._store.watch_kind(
             self._kind,
@@ -97,14 +97,14 @@
             self._log.note('History is gone; listing anew.', kind=self._kind)
             self._revision = None
             return
-        self._take(page)
+        self._apply_page(page)
 
-    def _take(self, page: Page) -> None:
+    def _apply_page(self, page: Page) -> None:
         self._revision = page.revision
         if page.stored:
-            self._tell(Changed(page.stored))
+            self._on_update(Changed(page.stored))
 
-    def _lose(self, error: Exception) -> None:
+    def _handle_failure(self, error: Exception) -> None:
         self._failures += 1
         # A missed change shows only in a listing.
         self._revision = None
@@ -114,13 +114,13 @@
                 kind=self._kind,
                 cause=str(error),
             )
-        self._tell(StoreUnavailable())
+        self._on_update(StoreUnavailable())
 
-    def _regain(self) -> None:
+    def _handle_success(self) -> None:
         if self._failures:
             self._log.note('The store answers again.', kind=self._kind)
         self._failures = 0
 
-    def _pause_s(self) -> float:
-        most_s = min(RETRY_MOST_S, RETRY_LEAST_S * 2**self._failures)
-        return random.uniform(RETRY_LEAST_S, most_s)
+    def _backoff_s(self) -> float:
+        max_s = min(MAX_RETRY_S, MIN_RETRY_S * 2**self._failures)
+        return random.uniform(MIN_RETRY_S, max_s)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -203,20 +203,20 @@
     return Answer(status, text, text_body, whole, arrived)
 
 
-async def wait_until(holds, what):
+async def wait_until(condition, description):
     """Wait for an event; it must come."""
     for _ in range(int(WAIT_S / POLL_S)):
-        told = holds()
-        if asyncio.iscoroutine(told):
-            told = await told
-        if told:
+        outcome = condition()
+        if asyncio.iscoroutine(outcome):
+            outcome = await outcome
+        if outcome:
             return
         await asyncio.sleep(POLL_S)
-    raise AssertionError(f'waited in vain: {what}')
+    raise AssertionError(f'waited in vain: {description}')
 
 
 @asynccontextmanager
-async def running(
+async def running_fleet(
     instances: int = 1,
     workers: int = 2,
 ) -> AsyncGenerator[Fleet, None]:
@@ -230,7 +230,7 @@
             fleet.workers.append(worker)
             port = free_ports(1)[0]
             await _listen(stack, worker, port)
-            await fleet.store.put('servers', worker.name, entry(port))
+            await fleet.store.put('servers', worker.name, worker_entry(port))
         await fleet.store.put('config', 'main', config(3))
         stack.push_async_callback(_end, fleet)
         for number in range(1, instances + 1):
@@ -246,7 +246,7 @@
         yield fleet
 
 
-def entry(port, **more):
+def worker_entry(port, **more):
     """Return a worker's entry."""
     return {
         'service': 'app',
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -35,10 +35,10 @@
 
     def __init__(self):
         """Start before the store told anything."""
-        self.assigner = Assigner(self._policy_of, lambda news: None)
+        self.assigner = Assigner(self._policy_for, lambda update: None)
         self.state = StoredState(self.assigner.set_servers)
 
-    def _policy_of(self, pool):
+    def _policy_for(self, pool):
         table = self.state.table()
         service = table.services.get(pool) if table else None
         memory_tokens = service.engine.memory_tokens if service else 0
@@ -51,11 +51,11 @@
     def test_servers_before_the_configuration(self):
         """An engine listed before its service was described caches as well."""
 
-        async def play():
+        async def scenario():
             instance = Instance()
             instance.state.apply_workers(listed('e-1', WORKER))
             instance.state.apply_config(listed(CONFIG_NAME, CONFIG))
             instance.assigner.record_placement(PromptPlaced('e-1', (PART,)))
             return instance.assigner.broker('lm').table.cache
 
-        assert asyncio.run(play()).cached('e-1', (PART,)) == PART.tokens
+        assert asyncio.run(scenario()).cached('e-1', (PART,)) == PART.tokens
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -9,7 +9,7 @@
 
 from siskinpass.cli_explain import STATUS_UNKNOWN, explain
 from siskinpass.process.request_story import read_log, tell_story
-from tests.fleet import KEY, config, running, wait_until
+from tests.fleet import KEY, config, running_fleet, wait_until
 
 ASKED_FOR = 'the-one'
 OTHERS = 40
@@ -54,7 +54,7 @@
 
 async def story_of(fail):
     """Return what is told of a request that was made to fail."""
-    async with running() as fleet:
+    async with running_fleet() as fleet:
         await fail(fleet)
         await asyncio.sleep(0.2)
         return tell_story(tuple(read_log(fleet.log.splitlines())), ASKED_FOR)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,11 +9,11 @@
 from tests.fleet import (
     ROUTES,
     config,
-    entry,
     exchange,
     route,
-    running,
+    running_fleet,
     wait_until,
+    worker_entry,
 )
 
 WHOLE = b''.join(f'id: {n}\ndata: x{n}\n\n'.encode() for n in range(1, 9))
@@ -23,11 +23,11 @@
 LENGTH_AND_CHUNKS = POST + b'Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n'
 
 
-def played(scenario, **more):
+def run_scenario(scenario, **more):
     """Run a scenario over a running fleet."""
 
     async def run():
-        async with running(**more) as fleet:
+        async with running_fleet(**more) as fleet:
             await scenario(fleet)
 
     asyncio.run(asyncio.wait_for(run(), 60))
@@ -52,7 +52,7 @@
             assert 'x-hold' not in run.headers
             assert 0 < int(run.headers['x-deadline-ms']) <= 3000
 
-        played(scenario)
+        run_scenario(scenario)
 
     @pytest.mark.parametrize(
         ('path', 'key', 'code'),
@@ -69,7 +69,7 @@
             assert answer.status == MEANINGS[code].status
             assert not fleet.runs
 
-        played(scenario)
+        run_scenario(scenario)
 
     @pytest.mark.parametrize(
         'wire',
@@ -87,7 +87,7 @@
             assert answer.status == MEANINGS[Code.malformed_head].status
             assert not fleet.runs
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_reads_chunked_bodies(self):
         """A body in chunks reaches the worker whole."""
@@ -102,7 +102,7 @@
             answer = await exchange(fleet.ports['front-1'][0], wire)
             assert (answer.status, fleet.runs[0].body) == (200, b'body')
 
-        played(scenario)
+        run_scenario(scenario)
 
 
 class TestFaults:
@@ -134,7 +134,7 @@
             assert answer.status == status
             assert len(fleet.runs) == runs
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_cut_stream_goes_on_elsewhere(self):
         """A resumable stream reaches the caller whole, nothing doubled."""
@@ -148,7 +148,7 @@
                 '3',
             ]
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_cut_stream_that_may_not_be_resumed_looks_cut(self):
         """Whole events are passed on, but no end mark."""
@@ -160,7 +160,7 @@
             assert not answer.is_whole
             assert len(fleet.runs) == 1
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_stream_that_finds_no_other_server_is_cut(self):
         """No answer of the router is written into a stream that has begun."""
@@ -179,7 +179,7 @@
             assert (answer.status, answer.is_whole) == (200, False)
             assert answer.raw.count(b'HTTP/1.1') == 1
 
-        played(scenario, workers=1)
+        run_scenario(scenario, workers=1)
 
     def test_promise_of_a_worker_that_may_have_run_is_not_passed_on(self):
         """A status that means "not run" needs the worker's own word for it."""
@@ -191,7 +191,7 @@
             assert answer.status == MEANINGS[Code.outcome_unknown].status
             assert len(fleet.runs) == 1
 
-        played(scenario)
+        run_scenario(scenario)
 
 
 class TestPlatform:
@@ -205,7 +205,7 @@
             answer = await fleet.ask('/once/x')
             assert answer.status == 200
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_adopts_newer_versions_only(self):
         """A version that is older or cannot be read changes nothing."""
@@ -225,7 +225,7 @@
             )
             assert await _has_status(fleet, '/new/x', 200)
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_forgotten_history_is_listed_anew(self):
         """A change that no watch can tell is found by a listing."""
@@ -238,7 +238,7 @@
                 lambda: _has_status(fleet, '/new/x', 200), 'version 5'
             )
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_leaving_worker_gets_nothing_new(self):
         """A draining or missing entry takes a worker out."""
@@ -247,12 +247,12 @@
             await fleet.store.put(
                 'servers',
                 'i-0',
-                entry(1, state='draining'),
+                worker_entry(1, state='draining'),
             )
             await fleet.store.put('servers', 'i-9', {'service': 5})
             await wait_until(lambda: _avoids(fleet, 0), 'i-0 to be left')
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_waits_for_its_first_configuration(self):
         """An instance that knows none takes no callers and is not ready."""
@@ -265,7 +265,7 @@
             fleet.store.is_down = False
             await wait_until(lambda: fleet.is_ready('late'), 'readiness')
 
-        played(scenario)
+        run_scenario(scenario)
 
 
 class TestStopping:
@@ -288,7 +288,7 @@
             assert await fleet.processes['front-1'].wait() == 0
             assert not fleet.store.names('siskinpass-instances')
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_caller_that_leaves_ends_the_run(self):
         """The worker's connection is closed with that of the caller."""
@@ -301,7 +301,7 @@
             asked.cancel()
             await wait_until(lambda: _idle(fleet), 'no request to run')
 
-        played(scenario)
+        run_scenario(scenario)
 
 
 class TestFleet:
@@ -315,7 +315,7 @@
             fleet.processes['front-2'].kill()
             await wait_until(lambda: _tells(fleet, 1), 'one address')
 
-        played(scenario, instances=2)
+        run_scenario(scenario, instances=2)
 
 
 async def _tells(fleet, count):
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -27,13 +27,13 @@
         assert decode_kept_parts(body) == PARTS
 
     @pytest.mark.parametrize(
-        'told',
+        'document',
         [5, {}, {'held': 5}, {'held': [5]}, {'held': [['', 'x']]}, 'text'],
     )
-    def test_unreadable_answers(self, told):
+    def test_unreadable_answers(self, document):
         """An answer of another form is an error."""
         with pytest.raises(FormatError):
-            decode_kept_parts(orjson.dumps(told))
+            decode_kept_parts(orjson.dumps(document))
 
 
 async def kept(request):
@@ -62,9 +62,9 @@
     return Response(200, b'{"held": 5}')
 
 
-async def learn(*handlers):
+async def load(*handlers):
     """Return what is learnt from one engine for each handler."""
-    told = {}
+    learned = {}
     engines = []
     servers = []
     for number, handler in enumerate(handlers):
@@ -73,13 +73,13 @@
         servers.append(server)
         engines.append(ServerView(f'e-{number}', f'127.0.0.1:{port}', 'lm'))
     pool = BackendPool(asyncio.get_running_loop())
-    learner = KeptPartsLoader(
-        pool, lambda news: told.update({news.server: news}), 0.3
+    loader = KeptPartsLoader(
+        pool, lambda update: learned.update({update.server: update}), 0.3
     )
-    await learner.learn(engines)
+    await loader.load(engines)
     for server in servers:
         server.close()
-    return told
+    return learned
 
 
 class TestKeptParts:
@@ -87,13 +87,13 @@
 
     def test_large_fleets_ask_some_engines(self):
         """The calls of one instance are bounded."""
-        told = asyncio.run(learn(*[kept] * (MAX_ENGINES + 5)))
-        assert len(told) == MAX_ENGINES
+        learned = asyncio.run(load(*[kept] * (MAX_ENGINES + 5)))
+        assert len(learned) == MAX_ENGINES
 
     @pytest.mark.parametrize('broken', [refused, hung_up, silent, spoiled])
     def test_one_engine_holds_up_no_other(self, broken):
         """What one engine keeps is learnt whatever another one does."""
-        told = asyncio.run(learn(broken, kept))
-        assert list(told) == ['e-1']
-        assert told['e-1'].pieces == hash_parts(Prompt(PARTS))
-        assert told['e-1'].unread == 0
+        learned = asyncio.run(load(broken, kept))
+        assert list(learned) == ['e-1']
+        assert learned['e-1'].pieces == hash_parts(Prompt(PARTS))
+        assert learned['e-1'].unread == 0
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -23,22 +23,22 @@
     """Keep the objects that a watch told of."""
 
     def __init__(self):
-        self.known = set()
-        self.lost = 0
+        self.names = set()
+        self.unavailable_count = 0
 
-    def take(self, news):
+    def apply(self, update):
         """Take in one piece of news."""
-        if isinstance(news, StoreUnavailable):
-            self.lost += 1
+        if isinstance(update, StoreUnavailable):
+            self.unavailable_count += 1
             return
-        if isinstance(news, Listed):
-            self.known = set()
-        assert isinstance(news, Listed | Changed)
-        for stored in news.stored:
+        if isinstance(update, Listed):
+            self.names = set()
+        assert isinstance(update, Listed | Changed)
+        for stored in update.stored:
             if stored.is_deleted:
-                self.known.discard(stored.name)
+                self.names.discard(stored.name)
             else:
-                self.known.add(stored.name)
+                self.names.add(stored.name)
 
 
 async def follow(scenario, wait_s=0.2):
@@ -47,10 +47,10 @@
     port = free_ports(1)[0]
     server = await serve(store, '127.0.0.1', port)
     client = StoreClient(f'127.0.0.1:{port}', lambda call, outcome: None)
-    watch = KindWatch(client, KIND, wait_s, follower.take)
+    watch = KindWatch(client, KIND, wait_s, follower.apply)
     task = asyncio.create_task(watch.run())
     await store.put(KIND, 'first', 1)
-    await wait_until(lambda: 'first' in follower.known, 'the first object')
+    await wait_until(lambda: 'first' in follower.names, 'the first object')
     await scenario(store, follower)
     task.cancel()
     server.close()
@@ -66,7 +66,7 @@
             await store.put(KIND, 'second', 1)
             await store.remove(KIND, 'first')
             await wait_until(
-                lambda: follower.known == {'second'}, 'the changes'
+                lambda: follower.names == {'second'}, 'the changes'
             )
 
         asyncio.run(follow(scenario))
@@ -77,9 +77,11 @@
         async def scenario(store, follower):
             store.is_mute = True
             await store.put(KIND, 'second', 1)
-            await wait_until(lambda: follower.lost, 'the silence to be noticed')
+            await wait_until(
+                lambda: follower.unavailable_count, 'the silence to be noticed'
+            )
             store.is_mute = False
-            await wait_until(lambda: 'second' in follower.known, 'the change')
+            await wait_until(lambda: 'second' in follower.names, 'the change')
 
         asyncio.run(follow(scenario))
 
@@ -88,10 +90,10 @@
 
         async def scenario(store, follower):
             await store.take_down()
-            await wait_until(lambda: follower.lost, 'the outage')
+            await wait_until(lambda: follower.unavailable_count, 'the outage')
             await store.put(KIND, 'second', 1)
             store.is_down = False
-            await wait_until(lambda: 'second' in follower.known, 'the change')
+            await wait_until(lambda: 'second' in follower.names, 'the change')
 
         asyncio.run(follow(scenario, wait_s=5.0))
 
