--- a/src/siskinpass/process/fleet/__init__.py
+++ b/src/siskinpass/process/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Run one entry instance behind the platform adapter."""
+"""Entry instance that runs on the platform adapter."""
--- a/src/siskinpass/process/fleet/__main__.py
+++ b/src/siskinpass/process/fleet/__main__.py
@@ -1,4 +1,4 @@
-"""Run one entry instance with the platform's settings file."""
+"""Run one entry instance, configured by the platform's settings file."""
 
 import os
 import sys
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Serve, and return the exit status: 2 where a setting is wrong."""
+    """Serve requests and return the exit status, 2 for invalid settings."""
     try:
         settings = read_settings(Path(os.environ.get(SETTINGS_VARIABLE, '')))
     except SettingsError as error:
--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -1,4 +1,4 @@
-"""Take in one backend server's answer to one request."""
+"""Receive and check one backend server's answer to one request."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,30 +13,32 @@
 from siskinpass.request.resend import Ending
 from siskinpass.request.silence import SilenceLimits
 
-# The server closes an idle connection after the time that it states; it is
-# not used in the last part of that.
+# The server closes an idle connection after the keep-alive time that it states.
+# The connection is not reused in the last part of that time, because a request
+# could cross with the close.
 IDLE_MARGIN_S = 1.0
 MIN_IDLE_S = 0.2
 
 
 class EventWriter(Protocol):
-    """Pass events on to the caller as they arrive."""
+    """Target that passes stream events to the caller as they arrive."""
 
     def begin(self, head: AnswerHead) -> None:
-        """Pass on the head, once for all attempts."""
+        """Send the head to the caller; only a request's first call does."""
 
     def write(self, events: bytes) -> None:
-        """Pass on whole events."""
+        """Send complete events to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """Tell how an attempt ended.
+    """Result of one attempt.
 
-    :param ending: none where a stream was passed on to its end.
-    :param head: head of the answer, where one came.
-    :param body: whole body of an answer that is not a stream.
-    :param cause: what went wrong, for the log.
+    :param ending: how the attempt failed, ``None`` for a complete answer that
+        reports success.
+    :param head: head of the answer, ``None`` if none was received.
+    :param body: complete body of an answer that is not a stream.
+    :param cause: reason of the failure, for the log.
     """
 
     ending: Ending | None
@@ -46,17 +48,17 @@
 
     @property
     def is_success(self) -> bool:
-        """Return whether the answer is whole and a success."""
+        """Return whether the answer is complete and reports success."""
         return self.ending is None
 
 
 class AnswerReceiver(AnswerSink):
-    """Check an answer and pass on the events of a stream.
+    """Sink that checks an answer and forwards the events of a stream.
 
-    :param call_id: id that the answer must bear.
-    :param tap: follows the events over all attempts; none for an answer that
-        is handed out whole.
-    :param writer: passes on events.
+    :param call_id: request id that the answer must carry.
+    :param tap: splits the stream into events and counts them over all attempts;
+        ``None`` for an answer that is delivered in one piece.
+    :param writer: receives complete events.
     """
 
     def __init__(
@@ -65,7 +67,6 @@
         tap: EventTap | None,
         writer: EventWriter,
     ) -> None:
-        """Start before anything was sent."""
         self._call_id = call_id
         self._tap = tap
         self._writer = writer
@@ -83,17 +84,17 @@
 
     @property
     def has_begun(self) -> bool:
-        """Return whether an event of this request was passed on."""
+        """Return whether an event was sent to the caller, on any attempt."""
         return self._tap is not None and self._tap.count > 0
 
     def start(self, connection: BackendConnection, request: bytes) -> None:
-        """Send the request."""
+        """Send the request and start to measure the server's silence."""
         self._connection = connection
         self._last_received_s = self._loop.time()
         connection.send(request, self)
 
     def cancel(self) -> None:
-        """Break off; the server stops its work."""
+        """Close the connection, on which the server stops its work."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.cancel()
@@ -101,23 +102,25 @@
     async def wait(self, limits: SilenceLimits | None) -> AttemptResult:
         """Wait for the end of the attempt.
 
-        :param limits: bounds of the server's silence, none for no bound.
+        An attempt that exceeds a limit is aborted and counts as failed.
+
+        :param limits: longest silence of the server, ``None`` for no limit.
         """
         while limits and not self.finished.done():
             allowed_s = limits.pause_s if self._has_received else limits.first_s
             remaining_s = self._last_received_s + allowed_s - self._loop.time()
             if remaining_s <= 0:
-                self._abort(f'silent for {allowed_s:.1f} s')
+                self._abort(f'no data received for {allowed_s:.1f} s')
             await asyncio.wait((self.finished,), timeout=max(0, remaining_s))
         return await self.finished
 
     def set_flow(self, *, on: bool) -> None:
-        """Slow down or go on, by the pace of the caller."""
+        """Pause or resume reading, as backpressure from the caller requires."""
         if self._connection is not None:
             self._connection.set_reading(on=on)
 
     def take_head(self, status: int, headers: tuple[Header, ...]) -> bool:
-        """Check whose answer it is and what it says."""
+        """Check the head and return whether it answers this request."""
         head = decode_answer(status, headers)
         if head.call_id and head.call_id != self._call_id:
             return False
@@ -131,7 +134,7 @@
         return True
 
     def take_piece(self, piece: bytes) -> None:
-        """Collect a body, or pass on the whole events of a stream."""
+        """Collect a body, or forward the complete events of a stream."""
         self._last_received_s = self._loop.time()
         self._has_received = True
         if self._rejection:
@@ -149,7 +152,7 @@
             self._writer.write(events)
 
     def take_end(self) -> None:
-        """End the attempt."""
+        """End the attempt with the complete answer."""
         self._connection = None
         if self._rejection:
             self._end(self._failure_result(self._rejection))
@@ -159,7 +162,7 @@
             self._end_body()
 
     def take_failure(self, error: BackendError) -> None:
-        """End an attempt that broke off."""
+        """End an attempt whose connection failed."""
         self._connection = None
         if self._head is not None and self._head.not_run:
             self._end(AttemptResult(Ending.declined, self._head))
@@ -171,7 +174,7 @@
             self._writer.begin(self._head)
             self._end(AttemptResult(None, self._head))
         else:
-            self._end(self._failure_result('the stream ended inside an event'))
+            self._end(self._failure_result('the stream ended within an event'))
 
     def _end_body(self) -> None:
         body = bytes(self._body)
@@ -198,13 +201,18 @@
 
 
 def _rejection_of(head: AnswerHead) -> str:
-    """Return why an answer cannot be the server's own, empty where it can."""
+    """Return why an answer is rejected, empty for a valid one.
+
+    It must carry the request id, must not be encoded and, if it reports
+    success, must carry the server's receipt. An answer that states that the
+    request did not run needs none of these.
+    """
     if head.not_run:
         return ''
     if not head.call_id:
-        return 'the answer names no request'
+        return 'the answer carries no request id'
     if head.is_encoded:
-        return 'the body is encoded'
+        return 'the body has a content encoding'
     if head.is_success and not head.receipt:
         return f'{Code.backend_error.name}: no receipt'
     return ''
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -1,7 +1,8 @@
-"""Let this instance's brokers assign requests to backend servers.
+"""Assign requests to backend servers through this instance's brokers.
 
-Each instance holds a broker for each service; what the others run is told to
-it by their load reports, and equal views lead to equal choices.
+Each instance has its own broker for each service. The brokers learn the load of
+the other instances from load reports; instances with the same view make the
+same choices.
 """
 
 import asyncio
@@ -28,7 +29,7 @@
     TicketOpened,
 )
 
-# Waiting tickets are looked at this often; a refusal is late by as much.
+# Interval at which waiting tickets are checked; a refusal is late by up to this.
 TICK_S = 0.02
 
 PolicyLookup = Callable[[str], BrokerPolicy]
@@ -37,21 +38,20 @@
 
 @dataclass(slots=True)
 class _Acquisition:
-    """Hold one ticket and who waits for its grant."""
+    """Ticket that waits for a server or holds one, with its future."""
 
     ticket: Ticket
     granted: asyncio.Future[ServerView]
 
 
 class Assigner:
-    """Own one broker for each service.
+    """Owner of one broker for each service.
 
-    :param policy_of: returns how the broker of a service decides.
-    :param on_placed: told of each prompt that was placed on a server.
+    :param policy_for: returns the broker policy of a service.
+    :param on_placed: called for each prompt that was placed on a server.
     """
 
     def __init__(self, policy_for: PolicyLookup, on_placed: OnPlaced) -> None:
-        """Start without servers."""
         self._policy_for = policy_for
         self._on_placed = on_placed
         self._loop = asyncio.get_running_loop()
@@ -66,7 +66,7 @@
 
     @property
     def loads(self) -> dict[str, ServerLoad]:
-        """Return what this instance runs on each server."""
+        """Return this instance's load by server, without idle servers."""
         return {
             server.view.name: server.own
             for broker in self._brokers.values()
@@ -76,23 +76,23 @@
 
     @property
     def running(self) -> int:
-        """Return how many requests run on backend servers."""
+        """Return how many of this instance's requests run on servers."""
         return sum(broker.running for broker in self._brokers.values())
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait for a server."""
+        """Return how many of this instance's requests wait for a server."""
         return sum(broker.waiting for broker in self._brokers.values())
 
     def server_load(self, ticket: Ticket, server: str) -> ServerLoad:
-        """Return what all instances run on a server."""
+        """Return all instances' load on a server, zero if it is unknown."""
         found = self.broker(ticket.pool).table.find(server)
         return found.load if found else ServerLoad()
 
     async def acquire(self, ticket: Ticket) -> ServerView:
-        """Wait for a server.
+        """Wait for a backend server and return it.
 
-        :raises RefusedError: where the request is given up on; it never ran.
+        :raises RefusedError: if no server is granted; the request did not run.
         """
         acquisition = _Acquisition(ticket, self._loop.create_future())
         self._acquisitions[ticket.ticket_id] = acquisition
@@ -104,7 +104,7 @@
             raise
 
     def note_prompt_read(self, ticket: Ticket) -> None:
-        """Take the prompt's work off the ticket's server."""
+        """Remove the prompt from the prefill work of the ticket's server."""
         self._apply(ticket.pool, PromptRead(ticket.ticket_id))
 
     def release(
@@ -114,41 +114,49 @@
         failed: bool,
         erred: bool = False,
     ) -> None:
-        """Give a slot back.
+        """Release the ticket's slot; releasing it twice has no effect.
 
-        :param failed: whether the server failed the request.
-        :param erred: whether it answered with an error of its own.
+        :param failed: whether the server could not be reached or gave no complete,
+            valid answer.
+        :param erred: whether the server answered with an error.
         """
         if self._acquisitions.pop(ticket.ticket_id, None) is not None:
             released = GrantReleased(ticket.ticket_id, failed, erred)
             self._apply(ticket.pool, released)
 
     def set_servers(self, views: Iterable[ServerView]) -> None:
-        """Take the servers of all services, also when the services change."""
+        """Replace the servers of all services.
+
+        Has to be called too when the configuration of the services changes.
+        """
         by_pool: dict[str, list[ServerView]] = {}
         self._views = {}
         for view in views:
             self._views[view.name] = view
             by_pool.setdefault(view.pool, []).append(view)
         for pool in self._brokers.keys() | by_pool.keys():
-            # A configuration may describe engines that were listed before.
+            # The configuration may arrive after the engines that it describes
+            # were listed, so their cache size is updated each time.
             memory_tokens = self._policy_for(pool).memory_tokens
             self.broker(pool).table.cache.resize(memory_tokens)
             self._apply(pool, ServersListed(tuple(by_pool.get(pool, ()))))
 
     def set_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
-        """Take what the other instances run."""
+        """Replace the load of the other instances, by server."""
         for pool in self._brokers:
             self._apply(pool, PeerLoadsTold(loads))
 
     def record_placement(self, placed: PromptPlaced) -> None:
-        """Take in a prompt that another instance placed."""
+        """Record a prompt that another instance placed on a server.
+
+        Prompts on unknown servers are ignored.
+        """
         view = self._views.get(placed.server)
         if view is not None:
             self._apply(view.pool, placed)
 
     def broker(self, pool: str) -> Broker:
-        """Return the broker of a service."""
+        """Return the broker of a service, creating it on first use."""
         found = self._brokers.get(pool)
         if found is None:
             found = Broker(self._policy_for(pool))
@@ -156,7 +164,7 @@
         return found
 
     async def run(self) -> None:
-        """Let time pass."""
+        """Advance the clocks of the brokers until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             for pool in tuple(self._brokers):
--- a/src/siskinpass/process/fleet/budgets.py
+++ b/src/siskinpass/process/fleet/budgets.py
@@ -1,4 +1,4 @@
-"""Hold this instance's part of the retry budget of each service."""
+"""Retry budgets of one instance."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,10 +7,10 @@
 
 
 class RetryBudgets:
-    """Hold this instance's part of the retry budget of each service.
+    """This instance's share of the retry budget of each service.
 
-    :param make: returns a window with the operator's bounds.
-    :param instances: returns how many instances share the budget.
+    :param make_window: returns a new window with the operator's bounds.
+    :param instance_count: returns how many instances share the budget.
     """
 
     def __init__(
@@ -18,18 +18,17 @@
         make_window: Callable[[], RetryWindow],
         instance_count: Callable[[], int],
     ) -> None:
-        """Start with unused budgets."""
         self._make_window = make_window
         self._instance_count = instance_count
         self._loop = asyncio.get_running_loop()
         self._windows: dict[str, RetryWindow] = {}
 
     def note_request(self, service: str) -> None:
-        """Count one request of a service."""
+        """Count one request, which adds to the budget of its service."""
         self._window(service).note_request(self._loop.time())
 
     def spend(self, service: str) -> bool:
-        """Take one send, and tell whether there was one."""
+        """Spend one retry and return whether the budget had one left."""
         return self._window(service).spend(
             self._loop.time(), self._instance_count()
         )
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -1,4 +1,4 @@
-"""Forward callers' requests to backend servers."""
+"""Forward callers' requests to backend servers, with retries."""
 
 import asyncio
 import itertools
@@ -43,22 +43,24 @@
 )
 
 MS_PER_S = 1000
-# Callers wait at most a third of the time they have left; this is well inside
-# it for the shortest time limit of the sheets.
+# Lower bound and random addition of Retry-After. Callers wait at most a third of
+# their remaining time; these values are well below that for the shortest time
+# limit that the platform's specification sheets state.
 MIN_RETRY_AFTER_S = 0.1
 RETRY_AFTER_JITTER_S = 0.3
-# Less time than this is not worth an attempt: no answer comes in it.
+# No attempt is made with less time left: no server answers within it.
 MIN_ATTEMPT_S = 0.02
 DEFAULT_TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardContext:
-    """Hold what a request needs of its process.
+    """Parts of the process that requests use.
 
-    :param table: returns the routing table in force, none before the first.
-    :param may_retry: takes a send beyond the first from a service's budget.
-    :param note_request: counts a request of a service.
+    :param table: returns the routing table in force, ``None`` before the first.
+    :param may_retry: spends one retry of a service's budget and returns whether
+        there was one left.
+    :param note_request: adds a request to the retry budget of its service.
     """
 
     table: Callable[[], RouteTable | None]
@@ -71,21 +73,20 @@
 
 
 class Forwarder:
-    """Start and follow one task for each request."""
+    """Owner of the task of each open request."""
 
     def __init__(self, context: ForwardContext) -> None:
-        """Start without requests."""
         self._context = context
         self._numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def open_requests(self) -> int:
-        """Return how many requests are not answered yet."""
+        """Return how many requests are unanswered."""
         return len(self._tasks)
 
     def serve(self, caller: HttpCaller, request: WireRequest) -> None:
-        """Start to answer a request."""
+        """Start a task that answers a request; a caller that leaves ends it."""
         request_handler = RequestHandler(
             self._context, caller, request, next(self._numbers)
         )
@@ -96,7 +97,7 @@
 
 
 class RequestHandler:
-    """Answer one request."""
+    """Task that answers one request, over one or more attempts."""
 
     def __init__(
         self,
@@ -105,7 +106,6 @@
         request: WireRequest,
         number: int,
     ) -> None:
-        """Decode the request."""
         self._context = context
         self._caller = caller
         self._call = decode_call(request)
@@ -121,16 +121,18 @@
         self._ticket: Ticket | None = None
 
     async def run(self) -> None:
-        """Answer it; a caller that left cancels this."""
+        """Answer the request; cancelled when the caller disconnects."""
         try:
             await self._admit()
         except asyncio.CancelledError:
-            self._record_failure('The caller left.', Code.caller_left)
+            self._record_failure(
+                'The caller disconnected before its answer.', Code.caller_left
+            )
         except RefusedError as error:
             self._end_refused(error)
         except Exception as error:
             self._context.log.warn(
-                'A request failed in this process.',
+                'A request failed with an internal error.',
                 call=self._call.call_id,
                 cause=repr(error),
             )
@@ -138,7 +140,10 @@
             raise
 
     def begin(self, head: AnswerHead) -> None:
-        """Pass on the head of a stream, once for all attempts."""
+        """Send the head of a stream; only the first call does.
+
+        Each attempt's first event marks its prompt as read.
+        """
         if self._ticket is not None:
             self._context.assigner.note_prompt_read(self._ticket)
             self._ticket = None
@@ -147,7 +152,7 @@
             self._caller.start_stream(head.status, head.headers)
 
     def write(self, events: bytes) -> None:
-        """Pass on whole events."""
+        """Send complete events to the caller."""
         self._caller.write_piece(events)
 
     async def _admit(self) -> None:
@@ -248,7 +253,9 @@
         )
         if order.left_s < MIN_ATTEMPT_S:
             connection.cancel()
-            return AttemptResult(Ending.unsent, cause='no time left')
+            return AttemptResult(
+                Ending.unsent, cause='too little time left for an attempt'
+            )
         with self._cancel_on_exit(receiver):
             receiver.start(connection, encode_send(self._call, order))
             return await receiver.wait(
@@ -259,7 +266,11 @@
     def _cancel_on_exit(
         self, receiver: AnswerReceiver
     ) -> Generator[None, None, None]:
-        """Stop the server's work if the request ends before its answer."""
+        """Stop the server's work if the request ends before its answer.
+
+        On an exception ``_in_flight`` stays set: the server may have run the
+        request, which ``_end_timed_out`` has to know.
+        """
         self._in_flight = True
         self._caller.on_flow = receiver.set_flow
         try:
@@ -343,7 +354,10 @@
             self._refuse(Code.wait_too_long)
 
     def _end_refused(self, error: RefusedError) -> None:
-        """End a request that got no server, by what earlier sends did."""
+        """End a request that got no server.
+
+        It is refused as not run only if no earlier send may have run.
+        """
         if self._has_begun:
             self._cut(error.code)
         elif self._sends.run:
@@ -428,7 +442,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Plan:
-    """Hold what stays the same over all attempts."""
+    """What all attempts of a request have in common.
+
+    :param deadline_s: end of the request, on the event loop's clock.
+    """
 
     route: Route
     workspace: Workspace | None
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -1,7 +1,8 @@
-"""Learn at the start which prompt parts the model engines keep.
+"""Query the model engines at start for the prompt parts in their KV caches.
 
-Answers the load after a restart of many instances: engines outlive them and
-keep their parts, which would be read again if prompts went elsewhere.
+Engines keep running while instances restart, and keep their caches. After many
+instances restart at once, prompts that went to other engines would have to be
+prefilled again; this is the load that the query avoids.
 """
 
 import asyncio
@@ -18,22 +19,25 @@
 from siskinpass.request.inbound import STATUS_OK, Prompt
 from siskinpass.request.ticket import PromptPlaced, ServerView
 
-# An engine answers between two steps, which take up to 0.2 s while it is slow;
-# later than this, requests have taught more than the answer tells.
+# An engine answers between two steps, which take up to 0.2 s on a slow engine.
+# After this time, placed requests have given more information than the answer
+# would.
 ANSWER_TIMEOUT_S = 1.0
-# A list holds up the engine's work. Each instance of a large fleet asks only
-# some engines, so that none gets more calls than on the users' smaller sites.
+# Listing its cache delays an engine's other work. Each instance of a large fleet
+# queries only some engines, so that no engine gets more calls than at the users'
+# smaller sites.
 MAX_ENGINES = 12
 
 
 class KeptPartsLoader:
-    """Ask each engine once what it keeps, or some of them where they are many.
+    """Loader of the prompt parts that the engines have cached.
 
-    A part that an engine keeps in part counts as whole.
+    Queries each engine once, or a random sample of ``MAX_ENGINES``. A part that
+    an engine has cached incompletely counts as complete.
 
     :param backends: connections to the engines.
-    :param tell: takes the parts of one engine.
-    :param answer_s: longest time that an engine's answer is waited for.
+    :param on_parts: called with the parts of each engine that answers.
+    :param timeout_s: longest wait for an engine's answer.
     """
 
     def __init__(
@@ -42,14 +46,13 @@
         on_parts: Callable[[PromptPlaced], None],
         timeout_s: float = ANSWER_TIMEOUT_S,
     ) -> None:
-        """Ask nothing yet."""
         self._backends = backends
         self._on_parts = on_parts
         self._timeout_s = timeout_s
         self._log = PartLog('kept-parts')
 
     async def load(self, engines: Iterable[ServerView]) -> None:
-        """Ask all engines at once."""
+        """Query the engines concurrently; failures are only logged."""
         known = tuple(engines)
         sampled = random.sample(known, min(len(known), MAX_ENGINES))
         await asyncio.gather(*(self._load_one(one) for one in sampled))
@@ -59,14 +62,14 @@
             parts = decode_kept_parts(await self._fetch(engine.address))
         except SiskinpassError as error:
             self._log.warn(
-                'An engine does not tell what it keeps.',
+                'An engine did not list its cached prompt parts.',
                 server=engine.name,
                 cause=str(error),
             )
             return
         self._on_parts(PromptPlaced(engine.name, hash_parts(Prompt(parts))))
         self._log.note(
-            'An engine told what it keeps.',
+            'An engine listed its cached prompt parts.',
             server=engine.name,
             parts=len(parts),
         )
--- a/src/siskinpass/process/fleet/loads.py
+++ b/src/siskinpass/process/fleet/loads.py
@@ -1,4 +1,4 @@
-"""Tell the other instances what this one runs on each backend server."""
+"""Exchange the load on each backend server with the other instances."""
 
 import asyncio
 import time
@@ -12,17 +12,20 @@
 from siskinpass.process.logs import PartLog
 from siskinpass.request.ticket import PromptPiece, PromptPlaced, ServerLoad
 
-SEND_INTERVAL_S = 0.1  # docs/design/platform.md: the sketch's interval
-REPEAT_INTERVAL_S = 1.0  # unchanged loads are told again, datagrams may be lost
+SEND_INTERVAL_S = 0.1  # the interval given in docs/design/platform.md
+REPEAT_INTERVAL_S = 1.0  # resend unchanged loads: datagrams may be lost
 NS_PER_MS = 1_000_000
 EXPIRY_S = 3 * REPEAT_INTERVAL_S
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Hold what one instance told last.
+    """Latest report of one instance.
 
-    :param order: counts up with each report of one process.
+    :param sequence: increases with each report of one process and over its
+        restarts.
+    :param received_s: when it was received, on the event loop's clock.
+    :param loads: load of the instance by server.
     """
 
     sequence: int
@@ -31,26 +34,25 @@
 
 
 class PeerLoadTable:
-    """Add up what the other instances told. Pure logic."""
+    """Sum of the other instances' load reports. Pure logic."""
 
     def __init__(self) -> None:
-        """Start with nothing heard."""
         self._reports: dict[str, LoadReport] = {}
 
     def update(self, name: str, report: LoadReport) -> None:
-        """Take in a report; one that was overtaken is dropped."""
+        """Store a report, unless a later one of the instance is known."""
         known = self._reports.get(name)
         if known is None or report.sequence > known.sequence:
             self._reports[name] = report
 
     def expire(self, now_s: float) -> None:
-        """Forget the reports of instances that fell silent."""
+        """Remove the reports that were not renewed within ``EXPIRY_S``."""
         for name, report in tuple(self._reports.items()):
             if now_s - report.received_s > EXPIRY_S:
                 self._reports.pop(name)
 
     def total(self) -> dict[str, ServerLoad]:
-        """Return the sum of all reports."""
+        """Return the sum of all reports by server."""
         totals: dict[str, ServerLoad] = {}
         for report in self._reports.values():
             for server, load in report.loads.items():
@@ -59,13 +61,14 @@
 
 
 class LoadExchange(asyncio.DatagramProtocol):
-    """Own the socket of the load reports.
+    """Sender and receiver of load reports and prompt placements over UDP.
 
     :param own: name of this instance.
-    :param own_loads: returns what this instance runs.
+    :param own_loads: returns this instance's load by server.
     :param peers: returns the ``(ip, port)`` of the other instances.
-    :param on_loads: takes what the others run, as often as it is told.
-    :param on_placed: takes each prompt that another instance placed.
+    :param on_loads: called with the other instances' summed load, at most once
+        per send interval and only after a report was received.
+    :param on_placed: called for each prompt that another instance placed.
     """
 
     def __init__(
@@ -76,7 +79,6 @@
         on_loads: Callable[[Mapping[str, ServerLoad]], None],
         on_placed: Callable[[PromptPlaced], None],
     ) -> None:
-        """Wait for the socket."""
         self._own = own
         self._own_loads = own_loads
         self._peers = peers
@@ -88,19 +90,22 @@
         self._sent_loads: Mapping[str, ServerLoad] = {}
         self._sent_s = 0.0
         self._has_updates = False
-        # A restarted process has to count on from where it was.
+        # Starts at the wall clock, so that a restarted process continues above
+        # the numbers it used before.
         self._sequence = time.time_ns() // NS_PER_MS
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
+        """Keep the transport for sending."""
         self._transport = transport
 
     def datagram_received(self, datagram: bytes, addr: object) -> None:
-        """Take in one report."""
+        """Process one datagram; an unreadable one is logged and dropped."""
         try:
             self._decode(orjson.loads(datagram))
         except (ValueError, TypeError, KeyError) as error:
-            self._log.warn('A load report cannot be read.', cause=str(error))
+            self._log.warn(
+                'Dropped an unreadable load report.', cause=str(error)
+            )
 
     def _decode(self, message: Any) -> None:
         if isinstance(message, dict):
@@ -117,7 +122,7 @@
         self._has_updates = True
 
     def send_placement(self, placed: PromptPlaced) -> None:
-        """Tell at once of a prompt that this instance placed."""
+        """Send a prompt's placement to the other instances immediately."""
         pieces = [(piece.key, piece.tokens) for piece in placed.pieces]
         self._send(
             orjson.dumps({
@@ -130,7 +135,7 @@
         )
 
     async def run(self) -> None:
-        """Tell and take in reports at an even pace."""
+        """Send and apply reports at the send interval, until cancelled."""
         while True:
             await asyncio.sleep(SEND_INTERVAL_S)
             self._send_report()
