--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -29,7 +29,7 @@
     TicketOpened,
 )
 
-# Interval at which waiting tickets are checked; a refusal is late by up to this.
+# Interval at which waiting tickets are checked; a refusal is at most this late.
 TICK_S = 0.02
 
 PolicyLookup = Callable[[str], BrokerPolicy]
@@ -116,8 +116,8 @@
     ) -> None:
         """Release the ticket's slot; releasing it twice has no effect.
 
-        :param failed: whether the server could not be reached or gave no complete,
-            valid answer.
+        :param failed: whether the server could not be reached or gave no
+            complete and valid answer.
         :param erred: whether the server answered with an error.
         """
         if self._acquisitions.pop(ticket.ticket_id, None) is not None:
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -43,9 +43,9 @@
 )
 
 MS_PER_S = 1000
-# Lower bound and random addition of Retry-After. Callers wait at most a third of
-# their remaining time; these values are well below that for the shortest time
-# limit that the platform's specification sheets state.
+# Lower bound and jitter of Retry-After. Callers wait at most a third of their
+# remaining time; these values are well below that for the shortest time limit
+# that the platform's specification sheets state.
 MIN_RETRY_AFTER_S = 0.1
 RETRY_AFTER_JITTER_S = 0.3
 # No attempt is made with less time left: no server answers within it.
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -23,9 +23,9 @@
 # After this time, placed requests have given more information than the answer
 # would.
 ANSWER_TIMEOUT_S = 1.0
-# Listing its cache delays an engine's other work. Each instance of a large fleet
-# queries only some engines, so that no engine gets more calls than at the users'
-# smaller sites.
+# Listing its cache delays an engine's other work. Each instance of a large
+# fleet queries only some engines, so that no engine gets more calls than at the
+# users' smaller sites.
 MAX_ENGINES = 12
 
 
--- a/src/siskinpass/process/fleet/loads.py
+++ b/src/siskinpass/process/fleet/loads.py
@@ -40,7 +40,7 @@
         self._reports: dict[str, LoadReport] = {}
 
     def update(self, name: str, report: LoadReport) -> None:
-        """Store a report, unless a later one of the instance is known."""
+        """Store a report; one not newer than the stored one is dropped."""
         known = self._reports.get(name)
         if known is None or report.sequence > known.sequence:
             self._reports[name] = report
--- a/src/siskinpass/process/fleet/members.py
+++ b/src/siskinpass/process/fleet/members.py
@@ -1,4 +1,4 @@
-"""Let the instances of a fleet find one another."""
+"""Discovery of the instances of a fleet through the store and gossip."""
 
 import asyncio
 import random
@@ -14,18 +14,19 @@
 from siskinpass.process.membership import Member, Membership, MembershipPolicy
 
 NS_PER_MS = 1_000_000
-# As long as a call to the store may take; the store may be away at the start.
+# The store may be unreachable at the start; the pause between attempts is as
+# long as a call to it may take.
 REGISTER_RETRY_S = 0.5
 
 
 class FleetMembers:
-    """Own the membership of this instance.
+    """Owner of this instance's view of the membership.
 
-    :param store: where instances leave their addresses for new ones.
+    :param store: where instances register their addresses, from which a new
+        instance learns them.
     """
 
     def __init__(self, settings: FleetSettings, store: StoreClient) -> None:
-        """Start with this instance only."""
         self._settings = settings
         self._store = store
         self._log = PartLog('member')
@@ -39,25 +40,26 @@
         )
         self.gossip = Gossip(
             Membership(self._own, MembershipPolicy(), random.Random()),
-            # Heartbeats of another deployment are told apart by their hash.
+            # The store's address is the key of the heartbeats' hash, so that
+            # heartbeats of another deployment are dropped.
             settings.store,
             self._update_max_seen,
         )
 
     @property
     def max_seen(self) -> int:
-        """Return the most instances that were known at once."""
+        """Return the largest number of instances known at the same time."""
         return self._max_seen
 
     @property
     def serving(self) -> list[Member]:
-        """Return the instances that are neither dead nor leaving."""
+        """Return the members that are neither dead nor leaving."""
         return self.gossip.membership.serving
 
     def peer_sockets(self, port_step: int) -> list[tuple[str, int]]:
-        """Return where the other live instances listen.
+        """Return the ``(ip, port)`` of the other live instances.
 
-        :param port_step: distance of the port from that of the heartbeats.
+        :param port_step: offset of the port from the heartbeat port.
         """
         found = []
         for member in self.gossip.membership.live:
@@ -67,23 +69,31 @@
         return found
 
     async def register(self) -> None:
-        """Write this instance into the store and learn of the others."""
+        """Register in the store and read the other instances from it.
+
+        Retries until it succeeds.
+        """
         while True:
             try:
                 await self._register_once()
             except (StoreError, FormatError) as error:
-                self._log.warn('Registering failed.', cause=str(error))
+                self._log.warn(
+                    'Registration in the store failed; retrying.',
+                    cause=str(error),
+                )
                 await asyncio.sleep(REGISTER_RETRY_S)
             else:
                 return
 
     async def leave(self, version: int) -> None:
-        """Tell the others and the store that this instance is leaving."""
+        """Announce by gossip that this instance leaves, and deregister it."""
         self.gossip.tell_self(leaving=True, tree_version=version)
         try:
             await self._store.delete(INSTANCES_KIND, self._settings.name)
         except StoreError as error:
-            self._log.warn('Deregistering failed.', cause=str(error))
+            self._log.warn(
+                'Deregistration from the store failed.', cause=str(error)
+            )
 
     async def _register_once(self) -> None:
         name = self._settings.name
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -1,4 +1,4 @@
-"""Run the parts of one entry instance and pass messages between them."""
+"""Entry instance: creates its parts, connects, starts and stops them."""
 
 import asyncio
 import signal
@@ -29,19 +29,19 @@
 from siskinpass.request.retry_window import RetryWindow
 from siskinpass.request.ticket import PromptPlaced, ServerLoad
 
-BACKLOG = 1024  # connections that wait to be accepted, as in a burst
-TICK_S = 0.1  # a tenth of the shortest bound that is checked in it
-LOADS_PORT_STEP = 2  # from the port of the heartbeats to that of the loads
-# Kept connections to backend servers are reused for long, new ones are dear;
-# the server's own Keep-Alive shortens this.
+BACKLOG = 1024  # connections waiting for accept, sized for bursts
+TICK_S = 0.1  # a tenth of the shortest time limit that it checks
+LOADS_PORT_STEP = 2  # offset of the load port from the heartbeat port
+# Idle connections to backend servers are kept long, because opening new ones is
+# expensive; a server's Keep-Alive header shortens the time.
 MAX_IDLE = 64
 BACKEND_POOL = PoolPolicy(connect_s=1.0, idle_s=60.0, idle_most=MAX_IDLE)
-# A directory answer is kept for up to three times as long; the shorter, the
-# sooner callers leave an instance that stops.
+# Callers cache a directory answer for up to three times its TTL. With a shorter
+# TTL they leave a stopping instance sooner.
 DIRECTORY_TTL_S = 1
 CACHED_TTLS = 3
-LATE_ARRIVAL_S = 0.3  # requests that were sent before a listener closed arrive
-EXIT_MARGIN_S = 0.3  # before the kill that follows the grace time
+LATE_ARRIVAL_S = 0.3  # requests sent before the listener closed
+EXIT_MARGIN_S = 0.3  # ahead of the kill at the end of the grace time
 STATUS_OK = 200
 STATUS_NOT_FOUND = 404
 STATUS_UNAVAILABLE = 503
@@ -50,10 +50,10 @@
 
 
 class FleetNode:
-    """Own the parts of one process."""
+    """Owner of all parts of one process."""
 
     def __init__(self, settings: FleetSettings) -> None:
-        """Make the parts; nothing is opened yet."""
+        """Create the parts without opening sockets or starting tasks."""
         self._settings = settings
         self._loop = asyncio.get_running_loop()
         self._log = PartLog('node')
@@ -81,7 +81,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until SIGTERM or SIGINT, then drain and return."""
         self._log.note('The process starts.', instance=self._settings.name)
         self._watch_signals()
         await self._open_peers()
@@ -98,7 +98,10 @@
         await self._drain()
 
     def _load_kept_parts(self) -> None:
-        """Ask the engines, which may have run before this process."""
+        """Query the engines' caches, except on the system's first start.
+
+        Engines may have been running before this process.
+        """
         if self._settings.is_first_start:
             return
         services = self._state.table().services
@@ -171,7 +174,9 @@
         settings = self._settings
         await self._listen(settings.callers, self._forwarder.serve)
         await self._listen(settings.directory, self._serve_directory)
-        self._log.note('The instance serves.', version=self._state.version)
+        self._log.note(
+            'The instance accepts callers.', version=self._state.version
+        )
 
     async def _listen(self, address: str, serve: Serve) -> None:
         host, port = address.rsplit(':', 1)
@@ -190,7 +195,7 @@
         return caller
 
     async def _drain(self) -> None:
-        """Stop taking work, finish what is open, then leave."""
+        """Stop accepting requests, finish the open ones and close."""
         deadline_s = self._loop.time() + self._settings.operator_bounds.grace_s
         self._log.note(
             'The instance is leaving.',
@@ -199,7 +204,7 @@
         for caller in self._callers:
             caller.is_leaving = True
         self._start(self._members.leave(self._state.version))
-        # Callers that kept an answer of the directory still come.
+        # Callers with a cached directory answer still connect.
         await asyncio.sleep(CACHED_TTLS * self._directory_ttl_s)
         for listener in self._listeners:
             listener.close()
@@ -212,11 +217,11 @@
     async def _finish_open(self, deadline_s: float) -> None:
         while self._forwarder.open_requests and self._loop.time() < deadline_s:
             await asyncio.sleep(TICK_S)
-        # Lets the last answers reach their callers.
+        # Gives the last answers time to reach their callers.
         await asyncio.sleep(TICK_S)
 
     def _reload(self) -> None:
-        self._log.note('A signal tells of changed settings; none is in use.')
+        self._log.note('Ignored SIGHUP: no setting can be reloaded.')
 
     async def _tick(self) -> None:
         while True:
--- a/src/siskinpass/process/fleet/policy.py
+++ b/src/siskinpass/process/fleet/policy.py
@@ -1,20 +1,22 @@
-"""State how the brokers of a fleet's instances decide."""
+"""Broker policy of the instances of a fleet."""
 
 from siskinpass.process.affinity import AffinityChooser
 from siskinpass.process.broker import BrokerPolicy
 from siskinpass.process.limits import LimitPolicy
 
-# The chooser bounds what a server gets, by all instances' loads.
+# Effectively no slot limit: the chooser limits each server's load, based on the
+# load of all instances.
 UNBOUNDED_SLOTS = 10_000
-# One lost answer in twenty is ordinary on the sheets; three in a row are not.
+# The platform's specification sheets count one lost answer in twenty as normal;
+# three failures in a row are not.
 PROBE_AFTER = 3
 
 
 def fleet_policy(memory_tokens: int) -> BrokerPolicy:
     """Return the policy for one service.
 
-    :param memory_tokens: tokens that the memory of each engine holds, 0 where
-        the service has none.
+    :param memory_tokens: KV cache capacity of each engine in tokens, 0 for a
+        service without engines.
     """
     return BrokerPolicy(
         LimitPolicy(UNBOUNDED_SLOTS, UNBOUNDED_SLOTS, UNBOUNDED_SLOTS),
--- a/src/siskinpass/process/fleet/serve.py
+++ b/src/siskinpass/process/fleet/serve.py
@@ -1,8 +1,9 @@
-"""Run one entry instance of a fleet as a process."""
+"""Process of one entry instance of a fleet."""
 
 import os
 
-# The event loop's library may use io_uring for files; it must not.
+# libuv, the event loop's library, could use io_uring for files, which is not
+# allowed. The variable has to be set before uvloop is imported.
 os.environ['UV_USE_IO_URING'] = '0'
 
 import sys
@@ -15,7 +16,7 @@
 
 
 def serve(settings: FleetSettings) -> None:
-    """Serve until a termination signal, then finish what is open."""
+    """Serve until SIGTERM or SIGINT, then finish the open requests."""
     start_pipe_logs(sys.stdout.buffer, settings.name)
     uvloop.run(_serve(settings))
 
--- a/src/siskinpass/process/fleet/settings.py
+++ b/src/siskinpass/process/fleet/settings.py
@@ -1,15 +1,15 @@
-"""Define the settings of one entry instance of a fleet."""
+"""Settings of one entry instance of a fleet."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBounds:
-    """Bound the sends beyond the first over all instances.
+    """Retry budget of each service, shared by all instances.
 
-    :param ratio: sends beyond the first for each request of a service.
-    :param window_s: sliding window in which they are counted.
-    :param slack: sends beyond the first that are always allowed.
+    :param ratio: retries allowed for each request of a service.
+    :param window_s: sliding window in which requests and retries are counted.
+    :param slack: retries allowed in addition, regardless of the requests.
     """
 
     ratio: float = 0.2
@@ -19,11 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorBounds:
-    """Hold the bounds that the operator states, in seconds.
+    """Limits that the operator sets; times are in seconds.
 
-    :param contact_s: calm time after which an instance counts as in touch.
+    :param contact_s: time without faults after which an instance counts as
+        connected again.
     :param grace_s: time from the termination signal to the kill.
-    :param directory_s: longest time that a directory answer counts.
+    :param directory_s: upper limit of a directory answer's TTL.
+    :param retries: retry budget.
     """
 
     contact_s: float = 3.0
@@ -34,12 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """Hold the settings of one process. Addresses are ``ip:port``.
+    """Settings of one process. Addresses are ``ip:port``.
 
     :param callers: address that callers connect to.
     :param readiness: address of the readiness check.
-    :param directory: address that tells callers where to connect.
-    :param peer_port: UDP port for the other instances.
+    :param directory: address of the directory, from which callers learn the
+        instances to connect to.
+    :param peer_port: UDP port for heartbeats of the other instances.
     :param metrics_port: TCP port of the metrics.
     :param store: address of the object store.
     :param is_first_start: whether the whole system starts for the first time.
@@ -59,10 +62,10 @@
 
     @property
     def peers(self) -> str:
-        """Return the address for the other instances."""
+        """Return the address of this instance's heartbeat port."""
         return f'{self.ip}:{self.peer_port}'
 
     @property
     def metrics(self) -> str:
-        """Return the address of the metrics."""
+        """Return the address that the metrics are served at."""
         return f'{self.ip}:{self.metrics_port}'
--- a/src/siskinpass/process/fleet/state.py
+++ b/src/siskinpass/process/fleet/state.py
@@ -1,4 +1,4 @@
-"""Keep what the store told: the routing table and the backend servers."""
+"""Routing table and backend servers, as read from the store."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -20,17 +20,16 @@
 
 
 class StoredState:
-    """Own the newest routing table and the registry's entries.
+    """Holder of the newest routing table and the registered servers.
 
-    :param on_servers: takes the servers whenever they or the configuration
-        changed.
+    :param on_servers: called with all servers whenever they or the
+        configuration changed.
     """
 
     def __init__(
         self,
         on_servers: Callable[[Iterable[ServerView]], None],
     ) -> None:
-        """Start without a table and without servers."""
         self._on_servers = on_servers
         self._loop = asyncio.get_running_loop()
         self._log = PartLog('state')
@@ -41,19 +40,23 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the configuration version in force, 0 before the first."""
         return self._table.version if self._table else 0
 
     def table(self) -> RouteTable | None:
-        """Return the routing table in force, none before the first."""
+        """Return the routing table in force, ``None`` before the first."""
         return self._table
 
     def caller_limits(self) -> CallerLimits:
-        """Return the bounds in force for what callers send."""
+        """Return the limits in force for requests, else the defaults."""
         return self._table.limits if self._table else CallerLimits()
 
     def apply_config(self, update: StoreUpdate) -> None:
-        """Take in what the store told of the configuration."""
+        """Apply a store update of the configuration.
+
+        Unreadable and older versions are ignored, and so is an outage of the
+        store.
+        """
         if isinstance(update, StoreUnavailable):
             return
         for stored in update.stored:
@@ -61,7 +64,7 @@
                 self._adopt(stored)
 
     def apply_workers(self, update: StoreUpdate) -> None:
-        """Take in what the store told of the backend servers."""
+        """Apply a store update of the backend servers."""
         now_s = self._loop.time()
         if isinstance(update, StoreUnavailable):
             self._servers.lose(now_s)
@@ -76,7 +79,7 @@
         self._check_ready()
 
     def pass_time(self) -> None:
-        """Drop the servers that stayed missing after an outage."""
+        """Remove the servers that are still missing after a store outage."""
         if self._servers.pass_time(self._loop.time()):
             self._on_servers(self._servers.views)
 
@@ -85,7 +88,7 @@
             table = decode_config(stored.body)
         except FormatError as error:
             self._log.warn(
-                'A configuration cannot be read; the one before holds.',
+                'Ignored an unreadable configuration; the previous one stays.',
                 revision=stored.revision,
                 cause=str(error),
             )
@@ -130,7 +133,7 @@
                 yield decode_worker(entry.name, entry.body)
             except FormatError as error:
                 self._log.warn(
-                    'An entry names no server.',
+                    'Ignored an unreadable server entry.',
                     entry=entry.name,
                     cause=str(error),
                 )
--- a/src/siskinpass/process/fleet/store_client.py
+++ b/src/siskinpass/process/fleet/store_client.py
@@ -1,7 +1,7 @@
-"""Call the platform's object store.
+"""Client of the platform's object store.
 
-The only client of the store in a fleet's process. A call that gets no answer
-ends its connection, since nothing further comes on it.
+All calls to the store by a fleet's process go through it. A call without an
+answer closes its connection, since the connection cannot be used again.
 """
 
 import asyncio
@@ -20,9 +20,9 @@
 )
 from siskinpass.platform import objects
 
-# Twenty times the answer time that the platform states.
+# Twenty times the response time that the platform states.
 CALL_TIMEOUT_S = 1.0
-# A watch that is silent for longer than it was asked to wait is given up.
+# A watch is aborted if it has not answered this long after its requested wait.
 WATCH_MARGIN_S = 0.5
 CONNECT_TIMEOUT_S = 0.5
 IDLE_TIMEOUT_S = 10.0
@@ -31,10 +31,11 @@
 
 
 class StoreClient:
-    """List, watch and write objects.
+    """Reader and writer of the store's objects.
 
     :param address: ``ip:port`` of the store.
-    :param note_call: told the kind and the outcome of each call.
+    :param on_call: called with the kind and the outcome of each call, for the
+        metrics.
     """
 
     def __init__(
@@ -42,7 +43,6 @@
         address: str,
         on_call: Callable[[str, str], None],
     ) -> None:
-        """Prepare a pool; no connection is opened yet."""
         self._address = address
         self._on_call = on_call
         self._pool = BackendPool(asyncio.get_running_loop(), STORE_POOL)
@@ -50,7 +50,7 @@
     async def list_kind(self, kind: str) -> objects.Page:
         """Return all objects of a kind and the revision to watch from.
 
-        :raises StoreError: where the store does not answer.
+        :raises StoreError: if the store does not answer or answers an error.
         """
         found: list[objects.StoredObject] = []
         after = ''
@@ -69,10 +69,11 @@
         revision: int,
         wait_s: float,
     ) -> objects.Page | None:
-        """Return the changes after a revision once there are any.
+        """Wait for changes after a revision and return them.
 
-        :returns: none where the history since then is gone.
-        :raises StoreError: where the store does not answer.
+        :param wait_s: time after which the store answers without changes.
+        :returns: ``None`` if the store no longer has the history since then.
+        :raises StoreError: if the store does not answer or answers an error.
         """
         path = objects.watch_path(kind, revision, int(wait_s * 1000))
         answer = await self._read('watch', path, wait_s + WATCH_MARGIN_S)
@@ -83,8 +84,9 @@
     async def create(self, kind: str, name: str, body: Any) -> None:
         """Create an object.
 
-        :raises StoreConflictError: where it exists.
-        :raises StoreUnconfirmedError: where the write may have happened.
+        :raises StoreConflictError: if it exists.
+        :raises StoreUnconfirmedError: if the write may have happened.
+        :raises StoreError: if the write did not happen.
         """
         answer = await self._write(
             'POST',
@@ -96,9 +98,10 @@
         _check(answer, objects.STATUS_OK, objects.STATUS_CREATED)
 
     async def replace(self, kind: str, name: str, body: Any) -> None:
-        """Replace an object, whatever its revision.
+        """Replace an object, regardless of its revision.
 
-        :raises StoreUnconfirmedError: where the write may have happened.
+        :raises StoreUnconfirmedError: if the write may have happened.
+        :raises StoreError: if the write did not happen.
         """
         path = objects.object_path(kind, name)
         answer = await self._write(
@@ -107,7 +110,11 @@
         _check(answer, objects.STATUS_OK, objects.STATUS_CREATED)
 
     async def delete(self, kind: str, name: str) -> None:
-        """Remove an object; one that is missing is no error."""
+        """Delete an object; a missing one is not an error.
+
+        :raises StoreUnconfirmedError: if the deletion may have happened.
+        :raises StoreError: if the deletion did not happen.
+        """
         path = objects.object_path(kind, name)
         answer = await self._write('DELETE', path, b'')
         _check(answer, objects.STATUS_OK, objects.STATUS_NOT_FOUND)
--- a/src/siskinpass/process/fleet/tickets.py
+++ b/src/siskinpass/process/fleet/tickets.py
@@ -1,4 +1,4 @@
-"""Make the tickets by which requests wait for a backend server. Pure logic."""
+"""Tickets with which requests wait for a backend server. Pure logic."""
 
 import hashlib
 from dataclasses import dataclass
@@ -10,14 +10,15 @@
 
 MAX_URGENCY = 9
 KEY_BYTES = 8
-# A request waits for a server for at most this part of the time that its caller
-# waits: a late answer is worth less, but one that is refused is worth nothing.
+# A request waits for a server for at most this fraction of its remaining time.
+# Waiting longer would make the answer late, which lowers its value; refusing
+# sooner would lose the whole value.
 WAIT_FRACTION = 0.4
 SHARE = 0.1
 
 
 class Plan(Protocol):
-    """Describe what a ticket is made for."""
+    """Properties of a request that its tickets depend on."""
 
     route: Route
     service: str
@@ -31,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """Identify one attempt of a request.
+    """One attempt of a request.
 
     :param ticket_id: unique in the process.
-    :param now_s: when it starts.
-    :param avoid: backend server that just failed for this request.
+    :param now_s: start of the attempt, on the event loop's clock.
+    :param avoid: backend server of the previous attempt, which failed.
     """
 
     ticket_id: str
@@ -71,14 +72,14 @@
 
 
 def hash_parts(prompt: Prompt) -> tuple[PromptPiece, ...]:
-    """Return the parts of a prompt by hashes of their names."""
+    """Return the parts of a prompt, with hashes in place of their names."""
     return tuple(
         PromptPiece(_hash(part.key), part.tokens) for part in prompt.parts
     )
 
 
 def engine_urgency(tier: int) -> int:
-    """Return the engine's urgency for a tier."""
+    """Return the urgency to send to the server, the tier within 0 to 9."""
     return min(MAX_URGENCY, max(0, tier))
 
 
--- a/src/siskinpass/process/fleet/watch.py
+++ b/src/siskinpass/process/fleet/watch.py
@@ -1,4 +1,4 @@
-"""Follow the objects of one kind in the store."""
+"""Watch of the objects of one kind in the store."""
 
 import asyncio
 import random
@@ -10,9 +10,9 @@
 from siskinpass.process.fleet.store_client import WATCH_MARGIN_S, StoreClient
 from siskinpass.process.logs import PartLog
 
-# An answer that was lost leaves its connection open and silent. A watch has to
-# be asked anew within the time after which an instance counts as in touch
-# again, less what the listing that follows may take.
+# A lost answer leaves its connection open without data. The watch has to be
+# repeated within the time after which an instance counts as connected again,
+# less the time that the listing that follows may take.
 LIST_MARGIN_S = 0.1
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 0.6
@@ -20,39 +20,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """All objects of the kind as they are now."""
+    """Current list of all objects of the kind."""
 
     stored: tuple[StoredObject, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """Objects changed, in order."""
+    """Changed and deleted objects, in the order of their changes."""
 
     stored: tuple[StoredObject, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class StoreUnavailable:
-    """The store stopped answering."""
+    """The store does not answer."""
 
 
 StoreUpdate = Listed | Changed | StoreUnavailable
 
 
 def watch_wait_s(contact_s: float) -> float:
-    """Return how long a watch may wait.
+    """Return the longest wait to request from the store, in seconds.
 
-    :param contact_s: calm time after which an instance counts as in touch.
+    :param contact_s: time without faults after which an instance counts as
+        connected again.
     """
     return contact_s - LIST_MARGIN_S - WATCH_MARGIN_S
 
 
 class KindWatch:
-    """List a kind once, then follow its changes.
+    """Watch that lists a kind once, then follows its changes.
 
-    :param wait_s: longest time that a watch waits, with its margin.
-    :param tell: takes what was learnt.
+    :param wait_s: longest wait to request from the store, without
+        ``WATCH_MARGIN_S``.
+    :param on_update: called with each update, and after each failed call with
+        ``StoreUnavailable``.
     """
 
     def __init__(
@@ -62,7 +65,6 @@
         wait_s: float,
         on_update: Callable[[StoreUpdate], None],
     ) -> None:
-        """Start without a revision."""
         self._store = store
         self._kind = kind
         self._on_update = on_update
@@ -72,7 +74,7 @@
         self._failures = 0
 
     async def run(self) -> None:
-        """Follow the kind until cancelled."""
+        """Watch the kind until cancelled, with backoff after failures."""
         while True:
             try:
                 await self._step()
@@ -94,7 +96,10 @@
             self._wait_s,
         )
         if page is None:
-            self._log.note('History is gone; listing anew.', kind=self._kind)
+            self._log.note(
+                'The store no longer has the history; listing again.',
+                kind=self._kind,
+            )
             self._revision = None
             return
         self._apply_page(page)
@@ -106,7 +111,7 @@
 
     def _handle_failure(self, error: Exception) -> None:
         self._failures += 1
-        # A missed change shows only in a listing.
+        # Only a new listing shows changes that were missed.
         self._revision = None
         if self._failures == 1:
             self._log.warn(
