--- a/src/siskinpass/process/fleet/store_client.py
+++ b/src/siskinpass/process/fleet/store_client.py
@@ -86,7 +86,7 @@
 
         :raises StoreConflictError: if it exists.
         :raises StoreUnconfirmedError: if the write may have happened.
-        :raises StoreError: if the write did not happen.
+        :raises StoreError: if the store cannot be reached or answers an error.
         """
         answer = await self._write(
             'POST',
@@ -101,7 +101,7 @@
         """Replace an object, regardless of its revision.
 
         :raises StoreUnconfirmedError: if the write may have happened.
-        :raises StoreError: if the write did not happen.
+        :raises StoreError: if the store cannot be reached or answers an error.
         """
         path = objects.object_path(kind, name)
         answer = await self._write(
@@ -113,7 +113,7 @@
         """Delete an object; a missing one is not an error.
 
         :raises StoreUnconfirmedError: if the deletion may have happened.
-        :raises StoreError: if the deletion did not happen.
+        :raises StoreError: if the store cannot be reached or answers an error.
         """
         path = objects.object_path(kind, name)
         answer = await self._write('DELETE', path, b'')
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Run entry instances of a fleet over the stand-in platform."""
+"""Run entry instances of a fleet as processes on the stand-in platform."""
 
 import asyncio
 import os
@@ -35,7 +35,7 @@
 def route(prefix, kind, more=None):
     """Return a route of the configuration.
 
-    :param more: fields in place of the usual ones.
+    :param more: fields that override the defaults.
     """
     return {
         'name': prefix,
@@ -62,7 +62,7 @@
 
 
 def config(version, routes=ROUTES):
-    """Return a configuration."""
+    """Return a configuration with the service and workspace of the tests."""
     return {
         'version': version,
         'routes': list(routes),
@@ -73,9 +73,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Hold one answer as a caller sees it.
+    """One answer as a caller receives it.
 
-    :param is_whole: whether it ended as it should.
+    :param status: status code, 0 if no head was received.
+    :param is_whole: whether the answer was received to its end.
+    :param raw: all bytes received.
     """
 
     status: int
@@ -85,7 +87,7 @@
     raw: bytes = b''
 
     def header(self, name):
-        """Return a header's text, empty where it is missing."""
+        """Return a header's value, empty if it is missing."""
         found = re.search(
             rf'^{name}: (.*?)\r?$', self.head, re.MULTILINE | re.IGNORECASE
         )
@@ -94,7 +96,10 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Hold the running parts."""
+    """Running store, workers and instances.
+
+    :param ports: ports of each instance by its name, and of ``store``.
+    """
 
     store: ObjectStore
     workers: list[Worker]
@@ -106,12 +111,12 @@
 
     @property
     def runs(self):
-        """Return the requests that all workers ran."""
+        """Return the requests that the workers ran, worker by worker."""
         return [run for worker in self.workers for run in worker.runs]
 
     @property
     def log(self):
-        """Return the log lines of all instances, mixed as they come."""
+        """Return the log lines of all instances, one instance after another."""
         return b''.join(path.read_bytes() for path in self.logs.values())
 
     async def ask(
@@ -124,7 +129,12 @@
         port=0,
         call='id-1',
     ):
-        """Send one request and return its answer."""
+        """Send one request to an instance and return its answer.
+
+        :param more: further header lines.
+        :param port: port in place of the instance's own.
+        :param call: request id.
+        """
         port = port or self.ports[name][0]
         wire = (
             f'POST {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: {call}\r\n'
@@ -134,12 +144,15 @@
         return await exchange(port, wire.encode())
 
     async def get(self, path, kind, name='front-1'):
-        """Ask for readiness (1), the directory (2) or the metrics (4)."""
+        """Send a GET request to one of an instance's other listeners.
+
+        :param kind: 1 for readiness, 2 for the directory, 4 for the metrics.
+        """
         wire = f'GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n'
         return await exchange(self.ports[name][kind], wire.encode())
 
     async def start(self, name):
-        """Start one instance; it need not be ready."""
+        """Start one instance without waiting until it is ready."""
         ports = free_ports(5)
         self.ports[name] = ports
         path = Path(tempfile.mkdtemp()) / 'boot.yaml'
@@ -158,7 +171,7 @@
         )
 
     async def is_ready(self, name='front-1'):
-        """Tell whether an instance says that it is ready."""
+        """Return whether an instance reports that it is ready."""
         try:
             return (await self.get('/-/readiness', 1, name)).status == 200
         except OSError:
@@ -166,7 +179,11 @@
 
 
 def free_ports(count):
-    """Return ports that no one listens on; UDP neighbours are free too."""
+    """Return TCP ports that nothing listens on.
+
+    Instances also use UDP ports of these and neighbouring numbers, which are
+    assumed to be free.
+    """
     with ExitStack() as stack:
         found = [
             stack.enter_context(socket.create_server(('127.0.0.1', 0)))
@@ -176,7 +193,7 @@
 
 
 async def exchange(port, wire):
-    """Send bytes and return the answer; the connection ends with it."""
+    """Send bytes on a new connection and read the answer up to its close."""
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     writer.write(wire)
     try:
@@ -189,7 +206,7 @@
 
 
 def parse(arrived):
-    """Return an answer from its bytes."""
+    """Parse an answer; a chunked body is decoded."""
     head, _, body = arrived.partition(b'\r\n\r\n')
     if not head:
         return Answer(0, is_whole=False)
@@ -204,7 +221,11 @@
 
 
 async def wait_until(condition, description):
-    """Wait for an event; it must come."""
+    """Wait until a condition is true.
+
+    :param condition: function, or coroutine function, that is polled.
+    :raises AssertionError: if it is still false after ``WAIT_S``.
+    """
     for _ in range(int(WAIT_S / POLL_S)):
         outcome = condition()
         if asyncio.iscoroutine(outcome):
@@ -212,7 +233,7 @@
         if outcome:
             return
         await asyncio.sleep(POLL_S)
-    raise AssertionError(f'waited in vain: {description}')
+    raise AssertionError(f'timed out waiting for {description}')
 
 
 @asynccontextmanager
@@ -220,7 +241,10 @@
     instances: int = 1,
     workers: int = 2,
 ) -> AsyncGenerator[Fleet, None]:
-    """Run a store, workers and instances; end them afterwards."""
+    """Run a store, workers and instances, and stop them afterwards.
+
+    Entered once all instances are ready and accept connections.
+    """
     async with AsyncExitStack() as stack:
         fleet = Fleet(ObjectStore(), [])
         fleet.ports['store'] = free_ports(1)
@@ -237,17 +261,17 @@
             await fleet.start(f'front-{number}')
         for name in tuple(fleet.processes):
             await wait_until(
-                lambda name=name: fleet.is_ready(name), f'{name} ready'
+                lambda name=name: fleet.is_ready(name), f'{name} to be ready'
             )
             await wait_until(
                 lambda name=name: _accepts(fleet.ports[name][2]),
-                f'{name} serves',
+                f'{name} to serve',
             )
         yield fleet
 
 
 def worker_entry(port, **more):
-    """Return a worker's entry."""
+    """Return a worker's registration in the store."""
     return {
         'service': 'app',
         'address': f'127.0.0.1:{port}',
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -1,4 +1,4 @@
-"""Test how an instance's brokers follow what the store tells."""
+"""Test how an instance's brokers follow the updates of the store."""
 
 import asyncio
 
@@ -26,15 +26,14 @@
 
 
 def listed(name, body):
-    """Return the news of one stored object."""
+    """Return a store update that lists one object."""
     return Listed((StoredObject(name, 1, body),))
 
 
 class Instance:
-    """Hold an assigner and the state that it follows."""
+    """Assigner with the stored state that it follows."""
 
     def __init__(self):
-        """Start before the store told anything."""
         self.assigner = Assigner(self._policy_for, lambda update: None)
         self.state = StoredState(self.assigner.set_servers)
 
@@ -46,10 +45,14 @@
 
 
 class TestEngineMemory:
-    """Test that cached parts are known in whatever order the store tells."""
+    """Test that cached parts are tracked for any order of store updates."""
 
     def test_servers_before_the_configuration(self):
-        """An engine listed before its service was described caches as well."""
+        """Parts are tracked on an engine listed before its configuration.
+
+        Guards against an engine whose cache size stays 0 because the
+        configuration arrives only after the engine was listed.
+        """
 
         async def scenario():
             instance = Instance()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Test entry instances as processes over a stand-in of the platform."""
+"""Test entry instances as processes on a stand-in of the platform."""
 
 import asyncio
 import signal
@@ -24,7 +24,7 @@
 
 
 def run_scenario(scenario, **more):
-    """Run a scenario over a running fleet."""
+    """Run a scenario with a running fleet, for at most 60 s."""
 
     async def run():
         async with running_fleet(**more) as fleet:
@@ -34,15 +34,18 @@
 
 
 class TestRequests:
-    """Test what callers get."""
+    """Test the answers that callers get."""
 
-    def test_whole_path(self):
-        """A request goes to a worker, its answer and receipt come back."""
+    def test_forwards_request_and_answer(self):
+        """A request reaches a worker; its answer and receipt come back.
+
+        The caller's key and internal headers that it sets are not forwarded.
+        """
 
         async def scenario(fleet):
-            told = await fleet.get('/-/resolution?name=h&zone=a', 2)
+            listing = await fleet.get('/-/resolution?name=h&zone=a', 2)
             front = fleet.ports['front-1'][0]
-            assert f'127.0.0.1:{front}'.encode() in told.body
+            assert f'127.0.0.1:{front}'.encode() in listing.body
             answer = await fleet.ask('/once/x', more='X-Hold: forged\r\n')
             run = fleet.runs[0]
             assert (answer.status, run.body) == (200, b'body')
@@ -61,8 +64,8 @@
             ('/once/x', 'other', Code.unknown_key),
         ],
     )
-    def test_refuses_what_no_configuration_allows(self, path, key, code):
-        """Such a request gets its status and reaches no worker."""
+    def test_refuses_unknown_paths_and_keys(self, path, key, code):
+        """An unknown path or key is refused and reaches no worker."""
 
         async def scenario(fleet):
             answer = await fleet.ask(path, key=key)
@@ -80,7 +83,10 @@
         ],
     )
     def test_refuses_malformed_requests(self, wire):
-        """Requests that two readers could split differently go nowhere."""
+        """Requests that two parsers could delimit differently are refused.
+
+        Guards against request smuggling.
+        """
 
         async def scenario(fleet):
             answer = await exchange(fleet.ports['front-1'][0], wire)
@@ -90,7 +96,7 @@
         run_scenario(scenario)
 
     def test_reads_chunked_bodies(self):
-        """A body in chunks reaches the worker whole."""
+        """A chunked body reaches the worker complete."""
 
         async def scenario(fleet):
             wire = (
@@ -106,7 +112,7 @@
 
 
 class TestFaults:
-    """Test workers that fail."""
+    """Test failing workers."""
 
     @pytest.mark.parametrize(
         ('path', 'fault', 'status', 'runs'),
@@ -118,17 +124,17 @@
             ('/short/x', 'silent', 504, 1),
         ],
     )
-    def test_each_kind_is_sent_as_often_as_it_may(
+    def test_retries_only_repeatable_requests(
         self,
         path,
         fault,
         status,
         runs,
     ):
-        """Only idempotent work, or what was not run, goes elsewhere."""
+        """Only idempotent or unexecuted requests go to a second worker."""
 
         async def scenario(fleet):
-            # Equal servers are taken in the order of their names.
+            # Equal servers are chosen in the order of their names.
             setattr(fleet.workers[0].faults, fault, 1)
             answer = await fleet.ask(path)
             assert answer.status == status
@@ -136,8 +142,8 @@
 
         run_scenario(scenario)
 
-    def test_cut_stream_goes_on_elsewhere(self):
-        """A resumable stream reaches the caller whole, nothing doubled."""
+    def test_resumes_cut_stream_on_another_worker(self):
+        """A resumable stream reaches the caller complete, without repeats."""
 
         async def scenario(fleet):
             fleet.workers[0].faults.cuts = 1
@@ -150,8 +156,8 @@
 
         run_scenario(scenario)
 
-    def test_cut_stream_that_may_not_be_resumed_looks_cut(self):
-        """Whole events are passed on, but no end mark."""
+    def test_does_not_end_cut_stream_that_is_not_resumable(self):
+        """Complete events are forwarded, but no end of the stream."""
 
         async def scenario(fleet):
             fleet.workers[0].faults.cuts = 1
@@ -163,7 +169,7 @@
         run_scenario(scenario)
 
     def test_stream_that_finds_no_other_server_is_cut(self):
-        """No answer of the router is written into a stream that has begun."""
+        """The router writes no error answer into a stream that has started."""
 
         async def scenario(fleet):
             worker = fleet.workers[0]
@@ -181,8 +187,12 @@
 
         run_scenario(scenario, workers=1)
 
-    def test_promise_of_a_worker_that_may_have_run_is_not_passed_on(self):
-        """A status that means "not run" needs the worker's own word for it."""
+    def test_does_not_forward_503_of_a_worker_that_ran(self):
+        """A 503 without the worker's not-run header is not forwarded.
+
+        Callers would take the status as a promise that the request did not
+        run, though the worker ran it.
+        """
 
         async def scenario(fleet):
             for worker in fleet.workers:
@@ -195,10 +205,10 @@
 
 
 class TestPlatform:
-    """Test the store's faults and what it tells."""
+    """Test faults and updates of the store."""
 
     def test_serves_while_the_store_is_down(self):
-        """What was learnt before still holds."""
+        """The configuration and servers read before stay in use."""
 
         async def scenario(fleet):
             await fleet.store.take_down()
@@ -208,40 +218,43 @@
         run_scenario(scenario)
 
     def test_adopts_newer_versions_only(self):
-        """A version that is older or cannot be read changes nothing."""
+        """An older or unreadable version is ignored."""
 
         async def scenario(fleet):
             newer = (*ROUTES, route('/new/', 'unsafe'))
             await fleet.store.put('config', 'main', config(5, newer))
             await wait_until(
-                lambda: _has_status(fleet, '/new/x', 200), 'version 5'
+                lambda: _answers_with(fleet, '/new/x', 200), 'version 5'
             )
             await fleet.store.put('config', 'main', config(4))
             await fleet.store.put('config', 'main', {'version': 9})
             last = (*newer, route('/last/', 'unsafe'))
             await fleet.store.put('config', 'main', config(10, last))
             await wait_until(
-                lambda: _has_status(fleet, '/last/x', 200), 'version 10'
+                lambda: _answers_with(fleet, '/last/x', 200), 'version 10'
             )
-            assert await _has_status(fleet, '/new/x', 200)
+            assert await _answers_with(fleet, '/new/x', 200)
 
         run_scenario(scenario)
 
-    def test_forgotten_history_is_listed_anew(self):
-        """A change that no watch can tell is found by a listing."""
+    def test_lists_again_when_history_is_missing(self):
+        """A change that is missing from the store's history is still found."""
 
         async def scenario(fleet):
             fleet.store.history_from = 10**6
             newer = (*ROUTES, route('/new/', 'unsafe'))
             await fleet.store.put('config', 'main', config(5, newer))
             await wait_until(
-                lambda: _has_status(fleet, '/new/x', 200), 'version 5'
+                lambda: _answers_with(fleet, '/new/x', 200), 'version 5'
             )
 
         run_scenario(scenario)
 
     def test_leaving_worker_gets_nothing_new(self):
-        """A draining or missing entry takes a worker out."""
+        """A draining worker gets no new requests.
+
+        An unreadable entry beside it has no effect.
+        """
 
         async def scenario(fleet):
             await fleet.store.put(
@@ -250,17 +263,19 @@
                 worker_entry(1, state='draining'),
             )
             await fleet.store.put('servers', 'i-9', {'service': 5})
-            await wait_until(lambda: _avoids(fleet, 0), 'i-0 to be left')
+            await wait_until(
+                lambda: _gets_none(fleet, 0), 'i-0 to get no requests'
+            )
 
         run_scenario(scenario)
 
     def test_waits_for_its_first_configuration(self):
-        """An instance that knows none takes no callers and is not ready."""
+        """An instance without a configuration is not ready."""
 
         async def scenario(fleet):
             await fleet.store.take_down()
             await fleet.start('late')
-            await wait_until(lambda: _answers(fleet, 'late'), 'the process')
+            await wait_until(lambda: _is_running(fleet, 'late'), 'the process')
             assert not await fleet.is_ready('late')
             fleet.store.is_down = False
             await wait_until(lambda: fleet.is_ready('late'), 'readiness')
@@ -269,10 +284,13 @@
 
 
 class TestStopping:
-    """Test the end of a process."""
+    """Test shutdown, and callers that disconnect."""
 
     def test_open_streams_end_whole(self):
-        """A termination signal cuts nothing; the instance is left at once."""
+        """After SIGTERM open streams are completed and readiness fails.
+
+        Late requests are answered with ``Connection: close``.
+        """
 
         async def scenario(fleet):
             for worker in fleet.workers:
@@ -291,7 +309,7 @@
         run_scenario(scenario)
 
     def test_caller_that_leaves_ends_the_run(self):
-        """The worker's connection is closed with that of the caller."""
+        """The connection to the worker is closed when the caller leaves."""
 
         async def scenario(fleet):
             for worker in fleet.workers:
@@ -299,43 +317,43 @@
             asked = asyncio.create_task(fleet.ask('/once/x'))
             await wait_until(lambda: fleet.runs, 'the run')
             asked.cancel()
-            await wait_until(lambda: _idle(fleet), 'no request to run')
+            await wait_until(lambda: _is_idle(fleet), 'no request to run')
 
         run_scenario(scenario)
 
 
 class TestFleet:
-    """Test several instances."""
+    """Test fleets of several instances."""
 
-    def test_instances_find_one_another(self):
-        """The directory tells all of a zone, a stopped one no more."""
+    def test_instances_discover_each_other(self):
+        """The directory lists a zone's instances, without a killed one."""
 
         async def scenario(fleet):
-            await wait_until(lambda: _tells(fleet, 2), 'two addresses')
+            await wait_until(lambda: _lists(fleet, 2), 'two addresses')
             fleet.processes['front-2'].kill()
-            await wait_until(lambda: _tells(fleet, 1), 'one address')
+            await wait_until(lambda: _lists(fleet, 1), 'one address')
 
         run_scenario(scenario, instances=2)
 
 
-async def _tells(fleet, count):
-    told = await fleet.get('/-/resolution?zone=a', 2)
-    return told.body.count(b'127.0.0.1') == count
+async def _lists(fleet, count):
+    listing = await fleet.get('/-/resolution?zone=a', 2)
+    return listing.body.count(b'127.0.0.1') == count
 
 
-async def _has_status(fleet, path, status):
+async def _answers_with(fleet, path, status):
     answer = await fleet.ask(path)
     return answer.status == status
 
 
-async def _avoids(fleet, number):
+async def _gets_none(fleet, number):
     before = len(fleet.workers[number].runs)
     for _ in range(6):
         await fleet.ask('/once/x')
     return len(fleet.workers[number].runs) == before
 
 
-async def _answers(fleet, name):
+async def _is_running(fleet, name):
     try:
         return (await fleet.get('/-/readiness', 1, name)).status > 0
     except OSError:
@@ -346,6 +364,6 @@
     return not await fleet.is_ready()
 
 
-async def _idle(fleet):
-    told = await fleet.get('/metrics', 4)
-    return b'name="running"} 0' in told.body
+async def _is_idle(fleet):
+    listing = await fleet.get('/metrics', 4)
+    return b'name="running"} 0' in listing.body
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -1,4 +1,4 @@
-"""Test what a starting instance learns from the engines."""
+"""Test how a starting instance queries the caches of the engines."""
 
 import asyncio
 
@@ -19,10 +19,10 @@
 
 
 class TestDecode:
-    """Test the list of an engine."""
+    """Test decoding of an engine's list."""
 
-    def test_names_parts_as_requests_do(self):
-        """The ids are those of the requests' prompt parts."""
+    def test_part_ids_equal_those_of_requests(self):
+        """The decoded ids equal those of the requests' prompt parts."""
         body = orjson.dumps({'epoch': 1, 'next': 5, 'held': ROWS})
         assert decode_kept_parts(body) == PARTS
 
@@ -31,39 +31,39 @@
         [5, {}, {'held': 5}, {'held': [5]}, {'held': [['', 'x']]}, 'text'],
     )
     def test_unreadable_answers(self, document):
-        """An answer of another form is an error."""
+        """A document of any other form raises an error."""
         with pytest.raises(FormatError):
             decode_kept_parts(orjson.dumps(document))
 
 
-async def kept(request):
-    """Answer with the list."""
+async def listed(request):
+    """Answer with the list of cached parts."""
     assert request.path == '/-/kv-list'
     return Response(200, orjson.dumps({'held': ROWS}))
 
 
 async def refused(request):
-    """Refuse the list."""
+    """Refuse the request for the list."""
     return Response(429)
 
 
 async def hung_up(request):
-    """Close without an answer."""
+    """Close the connection without an answer."""
     raise HangUpError
 
 
 async def silent(request):
-    """Answer nothing."""
+    """Never answer."""
     await asyncio.Event().wait()
 
 
-async def spoiled(request):
-    """Answer something else."""
+async def invalid(request):
+    """Answer with an invalid list."""
     return Response(200, b'{"held": 5}')
 
 
 async def load(*handlers):
-    """Return what is learnt from one engine for each handler."""
+    """Return the parts by engine, with one engine for each handler."""
     learned = {}
     engines = []
     servers = []
@@ -83,17 +83,17 @@
 
 
 class TestKeptParts:
-    """Test the calls."""
+    """Test the calls to the engines."""
 
-    def test_large_fleets_ask_some_engines(self):
-        """The calls of one instance are bounded."""
-        learned = asyncio.run(load(*[kept] * (MAX_ENGINES + 5)))
+    def test_bounds_the_number_of_queried_engines(self):
+        """One instance queries at most ``MAX_ENGINES`` engines."""
+        learned = asyncio.run(load(*[listed] * (MAX_ENGINES + 5)))
         assert len(learned) == MAX_ENGINES
 
-    @pytest.mark.parametrize('broken', [refused, hung_up, silent, spoiled])
-    def test_one_engine_holds_up_no_other(self, broken):
-        """What one engine keeps is learnt whatever another one does."""
-        learned = asyncio.run(load(broken, kept))
+    @pytest.mark.parametrize('broken', [refused, hung_up, silent, invalid])
+    def test_failing_engine_does_not_affect_others(self, broken):
+        """A failing engine does not affect the answer of another one."""
+        learned = asyncio.run(load(broken, listed))
         assert list(learned) == ['e-1']
         assert learned['e-1'].pieces == hash_parts(Prompt(PARTS))
         assert learned['e-1'].unread == 0
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Test following the store over answers that are lost."""
+"""Test watching the store when answers are lost or the store is down."""
 
 import asyncio
 
@@ -20,14 +20,14 @@
 
 
 class Follower:
-    """Keep the objects that a watch told of."""
+    """Names of the objects according to a watch's updates."""
 
     def __init__(self):
         self.names = set()
         self.unavailable_count = 0
 
     def apply(self, update):
-        """Take in one piece of news."""
+        """Apply one update."""
         if isinstance(update, StoreUnavailable):
             self.unavailable_count += 1
             return
@@ -42,7 +42,7 @@
 
 
 async def follow(scenario, wait_s=0.2):
-    """Run a scenario beside a watch."""
+    """Run a scenario while a watch follows a store."""
     store, follower = ObjectStore(), Follower()
     port = free_ports(1)[0]
     server = await serve(store, '127.0.0.1', port)
@@ -57,10 +57,10 @@
 
 
 class TestKindWatch:
-    """Test what a watch learns whatever becomes of its answers."""
+    """Test that a watch reports all changes, whatever happens to answers."""
 
     def test_follows_changes_and_deletions(self):
-        """Each change is told once it is made."""
+        """Each change and each deletion is reported."""
 
         async def scenario(store, follower):
             await store.put(KIND, 'second', 1)
@@ -72,13 +72,14 @@
         asyncio.run(follow(scenario))
 
     def test_lost_answer_is_noticed(self):
-        """A watch whose answer is lost on an open connection is asked anew."""
+        """A watch whose answer is lost on an open connection is repeated."""
 
         async def scenario(store, follower):
             store.is_mute = True
             await store.put(KIND, 'second', 1)
             await wait_until(
-                lambda: follower.unavailable_count, 'the silence to be noticed'
+                lambda: follower.unavailable_count,
+                'the lost answer to be noticed',
             )
             store.is_mute = False
             await wait_until(lambda: 'second' in follower.names, 'the change')
@@ -86,7 +87,7 @@
         asyncio.run(follow(scenario))
 
     def test_outage_is_noticed_and_its_changes_are_listed(self):
-        """What changed while the store hung up is found afterwards."""
+        """Changes made while the store closes connections are found later."""
 
         async def scenario(store, follower):
             await store.take_down()
@@ -98,6 +99,6 @@
         asyncio.run(follow(scenario, wait_s=5.0))
 
     @pytest.mark.parametrize('contact_s', [3.0, 4.0])
-    def test_silence_is_noticed_before_an_instance_is_in_touch(self, contact_s):
-        """A lost answer must not outlast the time of being out of touch."""
+    def test_lost_answer_is_noticed_within_contact_time(self, contact_s):
+        """A lost answer is noticed before the instance counts as connected."""
         assert 0 < watch_wait_s(contact_s) + WATCH_MARGIN_S < contact_s
