--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -126,7 +126,8 @@
             await self._admit()
         except asyncio.CancelledError:
             self._record_failure(
-                'The caller disconnected before its answer.', Code.caller_left
+                'The caller disconnected before the end of its answer.',
+                Code.caller_left,
             )
         except RefusedError as error:
             self._end_refused(error)
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -1,8 +1,8 @@
 """Query the model engines at start for the prompt parts in their KV caches.
 
-Engines keep running while instances restart, and keep their caches. After many
-instances restart at once, prompts that went to other engines would have to be
-prefilled again; this is the load that the query avoids.
+Engines keep running, with their caches, while instances restart. After a
+restart of many instances, prompts sent to other engines than before would have
+to be prefilled again; the query avoids this load.
 """
 
 import asyncio
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,7 +6,7 @@
 import pytest
 
 from siskinpass.process.metrics import Metrics
-from tests.test_fleet import played
+from tests.test_fleet import run_scenario
 
 OPERATIONS = Path(__file__).parents[1] / 'docs' / 'OPERATIONS.md'
 
@@ -31,7 +31,7 @@
             ):
                 assert f'siskinpass_{line}' in told
 
-        played(scenario)
+        run_scenario(scenario)
 
     def test_counts_fall_into_buckets(self):
         """A wait counts in all buckets above it."""
