--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -1,7 +1,8 @@
-"""Let this instance's brokers assign requests to backend servers.
+"""Assign requests to backend servers through this instance's brokers.
 
-Each instance holds a broker for each service; what the others run is told to
-it by their load reports, and equal views lead to equal choices.
+Each instance has its own broker for each service. The brokers learn the load of
+the other instances from load reports; instances with the same view make the
+same choices.
 """
 
 import asyncio
@@ -28,35 +29,34 @@
     TicketOpened,
 )
 
-# Waiting tickets are looked at this often; a refusal is late by as much.
+# Interval at which waiting tickets are checked; a refusal is at most this late.
 TICK_S = 0.02
 
-PolicyOf = Callable[[str], BrokerPolicy]
+PolicyLookup = Callable[[str], BrokerPolicy]
 OnPlaced = Callable[[PromptPlaced], None]
 
 
 @dataclass(slots=True)
-class _Asked:
-    """Hold one ticket and who waits for its grant."""
+class _Acquisition:
+    """Ticket that waits for a server or holds one, with its future."""
 
     ticket: Ticket
     granted: asyncio.Future[ServerView]
 
 
 class Assigner:
-    """Own one broker for each service.
+    """Owner of one broker for each service.
 
-    :param policy_of: returns how the broker of a service decides.
-    :param on_placed: told of each prompt that was placed on a server.
+    :param policy_for: returns the broker policy of a service.
+    :param on_placed: called for each prompt that was placed on a server.
     """
 
-    def __init__(self, policy_of: PolicyOf, on_placed: OnPlaced) -> None:
-        """Start without servers."""
-        self._policy_of = policy_of
+    def __init__(self, policy_for: PolicyLookup, on_placed: OnPlaced) -> None:
+        self._policy_for = policy_for
         self._on_placed = on_placed
         self._loop = asyncio.get_running_loop()
         self._brokers: dict[str, Broker] = {}
-        self._asked: dict[str, _Asked] = {}
+        self._acquisitions: dict[str, _Acquisition] = {}
         self._views: dict[str, ServerView] = {}
 
     @property
@@ -66,7 +66,7 @@
 
     @property
     def loads(self) -> dict[str, ServerLoad]:
-        """Return what this instance runs on each server."""
+        """Return this instance's load by server, without idle servers."""
         return {
             server.view.name: server.own
             for broker in self._brokers.values()
@@ -76,35 +76,35 @@
 
     @property
     def running(self) -> int:
-        """Return how many requests run on backend servers."""
+        """Return how many of this instance's requests run on servers."""
         return sum(broker.running for broker in self._brokers.values())
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait for a server."""
+        """Return how many of this instance's requests wait for a server."""
         return sum(broker.waiting for broker in self._brokers.values())
 
-    def load_of(self, ticket: Ticket, server: str) -> ServerLoad:
-        """Return what all instances run on a server."""
+    def server_load(self, ticket: Ticket, server: str) -> ServerLoad:
+        """Return all instances' load on a server, zero if it is unknown."""
         found = self.broker(ticket.pool).table.find(server)
         return found.load if found else ServerLoad()
 
     async def acquire(self, ticket: Ticket) -> ServerView:
-        """Wait for a server.
+        """Wait for a backend server and return it.
 
-        :raises RefusedError: where the request is given up on; it never ran.
+        :raises RefusedError: if no server is granted; the request did not run.
         """
-        asked = _Asked(ticket, self._loop.create_future())
-        self._asked[ticket.ticket_id] = asked
+        acquisition = _Acquisition(ticket, self._loop.create_future())
+        self._acquisitions[ticket.ticket_id] = acquisition
         self._apply(ticket.pool, TicketOpened(ticket))
         try:
-            return await asked.granted
+            return await acquisition.granted
         except asyncio.CancelledError:
             self.release(ticket, failed=False)
             raise
 
     def note_prompt_read(self, ticket: Ticket) -> None:
-        """Take the prompt's work off the ticket's server."""
+        """Remove the prompt from the prefill work of the ticket's server."""
         self._apply(ticket.pool, PromptRead(ticket.ticket_id))
 
     def release(
@@ -114,49 +114,57 @@
         failed: bool,
         erred: bool = False,
     ) -> None:
-        """Give a slot back.
+        """Release the ticket's slot; releasing it twice has no effect.
 
-        :param failed: whether the server failed the request.
-        :param erred: whether it answered with an error of its own.
+        :param failed: whether the server could not be reached or gave no
+            complete and valid answer.
+        :param erred: whether the server answered with an error.
         """
-        if self._asked.pop(ticket.ticket_id, None) is not None:
+        if self._acquisitions.pop(ticket.ticket_id, None) is not None:
             released = GrantReleased(ticket.ticket_id, failed, erred)
             self._apply(ticket.pool, released)
 
-    def list_servers(self, views: Iterable[ServerView]) -> None:
-        """Take the servers of all services, also when the services change."""
+    def set_servers(self, views: Iterable[ServerView]) -> None:
+        """Replace the servers of all services.
+
+        Has to be called too when the configuration of the services changes.
+        """
         by_pool: dict[str, list[ServerView]] = {}
         self._views = {}
         for view in views:
             self._views[view.name] = view
             by_pool.setdefault(view.pool, []).append(view)
         for pool in self._brokers.keys() | by_pool.keys():
-            # A configuration may describe engines that were listed before.
-            memory_tokens = self._policy_of(pool).memory_tokens
+            # The configuration may arrive after the engines that it describes
+            # were listed, so their cache size is updated each time.
+            memory_tokens = self._policy_for(pool).memory_tokens
             self.broker(pool).table.cache.resize(memory_tokens)
             self._apply(pool, ServersListed(tuple(by_pool.get(pool, ()))))
 
-    def take_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
-        """Take what the other instances run."""
+    def set_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
+        """Replace the load of the other instances, by server."""
         for pool in self._brokers:
             self._apply(pool, PeerLoadsTold(loads))
 
-    def note_placed(self, placed: PromptPlaced) -> None:
-        """Take in a prompt that another instance placed."""
+    def record_placement(self, placed: PromptPlaced) -> None:
+        """Record a prompt that another instance placed on a server.
+
+        Prompts on unknown servers are ignored.
+        """
         view = self._views.get(placed.server)
         if view is not None:
             self._apply(view.pool, placed)
 
     def broker(self, pool: str) -> Broker:
-        """Return the broker of a service."""
+        """Return the broker of a service, creating it on first use."""
         found = self._brokers.get(pool)
         if found is None:
-            found = Broker(self._policy_of(pool))
+            found = Broker(self._policy_for(pool))
             self._brokers[pool] = found
         return found
 
     async def run(self) -> None:
-        """Let time pass."""
+        """Advance the clocks of the brokers until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             for pool in tuple(self._brokers):
@@ -164,25 +172,27 @@
 
     def _apply(self, pool: str, event: Event) -> None:
         for command in self.broker(pool).apply(event, self._loop.time()):
-            self._take(command)
+            self._execute(command)
 
-    def _take(self, command: Command) -> None:
-        asked = self._asked.get(command.ticket_id)
-        if asked is None:
+    def _execute(self, command: Command) -> None:
+        acquisition = self._acquisitions.get(command.ticket_id)
+        if acquisition is None:
             return
         if isinstance(command, Granted):
-            self._grant(asked, command)
+            self._grant(acquisition, command)
         elif isinstance(command, Refused):
-            self._asked.pop(command.ticket_id)
-            self._refuse(asked, command)
+            self._acquisitions.pop(command.ticket_id)
+            self._refuse(acquisition, command)
 
-    def _grant(self, asked: _Asked, command: Granted) -> None:
+    def _grant(self, acquisition: _Acquisition, command: Granted) -> None:
         view = self._views.get(command.server)
-        if asked.granted.done():
+        if acquisition.granted.done():
             return
         if view is None:
-            self.release(asked.ticket, failed=False)
-            asked.granted.set_exception(RefusedError(Code.no_backend_server))
+            self.release(acquisition.ticket, failed=False)
+            acquisition.granted.set_exception(
+                RefusedError(Code.no_backend_server)
+            )
             return
         if command.pieces:
             self._on_placed(
@@ -190,15 +200,15 @@
                     command.server,
                     command.pieces,
                     command.unread,
-                    asked.ticket.tier,
-                    is_tight=asked.ticket.is_tight,
+                    acquisition.ticket.tier,
+                    is_tight=acquisition.ticket.is_tight,
                 )
             )
-        asked.granted.set_result(view)
+        acquisition.granted.set_result(view)
 
-    def _refuse(self, asked: _Asked, command: Refused) -> None:
-        if not asked.granted.done():
-            asked.granted.set_exception(
+    def _refuse(self, acquisition: _Acquisition, command: Refused) -> None:
+        if not acquisition.granted.done():
+            acquisition.granted.set_exception(
                 RefusedError(
                     command.code,
                     retry_after_ms=command.retry_after_ms,
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -1,4 +1,4 @@
-"""Forward callers' requests to backend servers."""
+"""Forward callers' requests to backend servers, with retries."""
 
 import asyncio
 import itertools
@@ -13,9 +13,13 @@
 from siskinpass.connection.http_caller import HttpCaller
 from siskinpass.exceptions import ConnectError, RefusedError
 from siskinpass.platform.headers import decode_call, encode_send
-from siskinpass.process.fleet.answer import AnswerTaker, Ended
+from siskinpass.process.fleet.answer import AnswerReceiver, AttemptResult
 from siskinpass.process.fleet.assigner import Assigner
-from siskinpass.process.fleet.tickets import Attempt, make_ticket, urgency_of
+from siskinpass.process.fleet.tickets import (
+    Attempt,
+    engine_urgency,
+    make_ticket,
+)
 from siskinpass.process.logs import PartLog
 from siskinpass.process.metrics import ANSWERED, Metrics
 from siskinpass.process.request_story import (
@@ -39,22 +43,24 @@
 )
 
 MS_PER_S = 1000
-# Callers wait at most a third of the time they have left; this is well inside
-# it for the shortest time limit of the sheets.
-RETURN_LEAST_S = 0.1
-RETURN_SPREAD_S = 0.3
-# Less time than this is not worth an attempt: no answer comes in it.
-LEFT_LEAST_S = 0.02
-DEFAULT_PATIENCE_S = 60.0
+# Lower bound and jitter of Retry-After. Callers wait at most a third of their
+# remaining time; these values are well below that for the shortest time limit
+# that the platform's specification sheets state.
+MIN_RETRY_AFTER_S = 0.1
+RETRY_AFTER_JITTER_S = 0.3
+# No attempt is made with less time left: no server answers within it.
+MIN_ATTEMPT_S = 0.02
+DEFAULT_TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
-    """Hold what a request needs of its process.
+class ForwardContext:
+    """Parts of the process that requests use.
 
-    :param table: returns the routing table in force, none before the first.
-    :param may_retry: takes a send beyond the first from a service's budget.
-    :param note_request: counts a request of a service.
+    :param table: returns the routing table in force, ``None`` before the first.
+    :param may_retry: spends one retry of a service's budget and returns whether
+        there was one left.
+    :param note_request: adds a request to the retry budget of its service.
     """
 
     table: Callable[[], RouteTable | None]
@@ -67,40 +73,40 @@
 
 
 class Forwarder:
-    """Start and follow one task for each request."""
+    """Owner of the task of each open request."""
 
-    def __init__(self, tools: Tools) -> None:
-        """Start without requests."""
-        self._tools = tools
+    def __init__(self, context: ForwardContext) -> None:
+        self._context = context
         self._numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def open_requests(self) -> int:
-        """Return how many requests are not answered yet."""
+        """Return how many requests are unanswered."""
         return len(self._tasks)
 
     def serve(self, caller: HttpCaller, request: WireRequest) -> None:
-        """Start to answer a request."""
-        run = ForwardRun(self._tools, caller, request, next(self._numbers))
-        task = asyncio.get_running_loop().create_task(run.run())
+        """Start a task that answers a request; a caller that leaves ends it."""
+        request_handler = RequestHandler(
+            self._context, caller, request, next(self._numbers)
+        )
+        task = asyncio.get_running_loop().create_task(request_handler.run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         caller.on_lost = task.cancel
 
 
-class ForwardRun:
-    """Answer one request."""
+class RequestHandler:
+    """Task that answers one request, over one or more attempts."""
 
     def __init__(
         self,
-        tools: Tools,
+        context: ForwardContext,
         caller: HttpCaller,
         request: WireRequest,
         number: int,
     ) -> None:
-        """Decode the request."""
-        self._tools = tools
+        self._context = context
         self._caller = caller
         self._call = decode_call(request)
         self._number = number
@@ -111,20 +117,23 @@
         self._has_begun = False
         self._avoid = ''
         self._server = ''
-        self._node = ''
+        self._route_name = ''
         self._ticket: Ticket | None = None
 
     async def run(self) -> None:
-        """Answer it; a caller that left cancels this."""
+        """Answer the request; cancelled when the caller disconnects."""
         try:
             await self._admit()
         except asyncio.CancelledError:
-            self._note('The caller left.', Code.caller_left)
+            self._record_failure(
+                'The caller disconnected before the end of its answer.',
+                Code.caller_left,
+            )
         except RefusedError as error:
             self._end_refused(error)
         except Exception as error:
-            self._tools.log.warn(
-                'A request failed in this process.',
+            self._context.log.warn(
+                'A request failed with an internal error.',
                 call=self._call.call_id,
                 cause=repr(error),
             )
@@ -132,20 +141,23 @@
             raise
 
     def begin(self, head: AnswerHead) -> None:
-        """Pass on the head of a stream, once for all attempts."""
+        """Send the head of a stream; only the first call does.
+
+        Each attempt's first event marks its prompt as read.
+        """
         if self._ticket is not None:
-            self._tools.assigner.note_prompt_read(self._ticket)
+            self._context.assigner.note_prompt_read(self._ticket)
             self._ticket = None
         if not self._has_begun:
             self._has_begun = True
             self._caller.start_stream(head.status, head.headers)
 
     def write(self, events: bytes) -> None:
-        """Pass on whole events."""
+        """Send complete events to the caller."""
         self._caller.write_piece(events)
 
     async def _admit(self) -> None:
-        table = self._tools.table()
+        table = self._context.table()
         if table is None:
             raise RefusedError(Code.no_tree_in_force)
         route = table.find(self._call.host, self._call.request.path)
@@ -166,54 +178,54 @@
         workspace: Workspace | None,
         table: RouteTable,
     ) -> None:
-        patience_s = self._call.patience_s or DEFAULT_PATIENCE_S
-        ends_s = self._started_s + min(patience_s, route.timeout_s)
+        patience_s = self._call.patience_s or DEFAULT_TIMEOUT_S
+        deadline_s = self._started_s + min(patience_s, route.timeout_s)
         service = route.service_at(random.random())
-        self._tools.note_request(service)
-        self._node = route.name
+        self._context.note_request(service)
+        self._route_name = route.name
         if route.is_stream:
             self._tap = EventTap(self._started_s)
-        plan = _Plan(route, workspace, service, ends_s, table)
+        plan = _Plan(route, workspace, service, deadline_s, table)
         try:
-            async with asyncio.timeout_at(ends_s):
+            async with asyncio.timeout_at(deadline_s):
                 await self._attempt_all(plan)
         except TimeoutError:
-            self._end_late(plan)
+            self._end_timed_out(plan)
 
     async def _attempt_all(self, plan: '_Plan') -> None:
         while True:
-            ended = await self._attempt(plan)
-            if ended.is_success:
-                self._deliver(plan, ended)
+            outcome = await self._attempt(plan)
+            if outcome.is_success:
+                self._deliver(plan, outcome)
                 return
-            step = self._next_step(plan, ended)
-            self._log_step(plan, ended, step)
+            step = self._next_step(plan, outcome)
+            self._log_step(plan, outcome, step)
             if step not in {Step.resend, Step.resume}:
-                self._finish(step, ended)
+                self._finish(step, outcome)
                 return
-            self._tools.metrics.retried(_RETRY_CODES[ended.ending])
+            self._context.metrics.retried(_RETRY_CODES[outcome.ending])
 
-    async def _attempt(self, plan: '_Plan') -> Ended:
+    async def _attempt(self, plan: '_Plan') -> AttemptResult:
         ticket = make_ticket(
             self._call,
             plan,
             Attempt(self._ticket_id(), _now_s(), self._avoid),
         )
-        view = await self._tools.assigner.acquire(ticket)
+        view = await self._context.assigner.acquire(ticket)
         self._server = view.name
         self._ticket = ticket
         self._log_grant(ticket, view)
-        ended = None
+        outcome = None
         try:
-            ended = await self._send(plan, ticket, view)
+            outcome = await self._send(plan, ticket, view)
         finally:
-            self._release(ticket, ended)
+            self._release(ticket, outcome)
         self._avoid = view.name
-        return ended
+        return outcome
 
-    def _release(self, ticket: Ticket, ended: Ended | None) -> None:
-        ending = ended.ending if ended else None
-        self._tools.assigner.release(
+    def _release(self, ticket: Ticket, outcome: AttemptResult | None) -> None:
+        ending = outcome.ending if outcome else None
+        self._context.assigner.release(
             ticket,
             failed=ending in {Ending.unsent, Ending.lost, Ending.cut},
             erred=ending in {Ending.failed, Ending.declined},
@@ -224,87 +236,95 @@
         plan: '_Plan',
         ticket: Ticket,
         view: ServerView,
-    ) -> Ended:
+    ) -> AttemptResult:
         try:
-            connection = await self._tools.backends.connect(
+            connection = await self._context.backends.connect(
                 view.address,
                 fresh=False,
             )
         except ConnectError as error:
-            return Ended(Ending.unsent, cause=str(error))
-        taker = AnswerTaker(self._call.call_id, self._tap, self)
+            return AttemptResult(Ending.unsent, cause=str(error))
+        receiver = AnswerReceiver(self._call.call_id, self._tap, self)
         order = SendOrder(
             server=view.name,
-            left_s=plan.ends_s - _now_s(),
+            left_s=plan.deadline_s - _now_s(),
             workspace=plan.workspace.name if plan.workspace else '',
-            urgency=urgency_of(ticket.tier),
+            urgency=engine_urgency(ticket.tier),
             resume_after=self._resume_after(plan.route),
         )
-        if order.left_s < LEFT_LEAST_S:
+        if order.left_s < MIN_ATTEMPT_S:
             connection.cancel()
-            return Ended(Ending.unsent, cause='no time left')
-        with self._following(taker):
-            taker.start(connection, encode_send(self._call, order))
-            return await taker.wait(
+            return AttemptResult(
+                Ending.unsent, cause='too little time left for an attempt'
+            )
+        with self._cancel_on_exit(receiver):
+            receiver.start(connection, encode_send(self._call, order))
+            return await receiver.wait(
                 silence_limits(plan.route, self._sends),
             )
 
     @contextmanager
-    def _following(self, taker: AnswerTaker) -> Generator[None, None, None]:
-        """Stop the server's work if the request ends before its answer."""
+    def _cancel_on_exit(
+        self, receiver: AnswerReceiver
+    ) -> Generator[None, None, None]:
+        """Stop the server's work if the request ends before its answer.
+
+        On an exception ``_in_flight`` stays set: the server may have run the
+        request, which ``_end_timed_out`` has to know.
+        """
         self._in_flight = True
-        self._caller.on_flow = taker.set_flow
+        self._caller.on_flow = receiver.set_flow
         try:
             yield
         finally:
-            taker.cancel()
+            receiver.cancel()
             self._caller.on_flow = None
         self._in_flight = False
 
-    def _next_step(self, plan: '_Plan', ended: Ended) -> Step:
-        if ended.ending in {Ending.unsent, Ending.declined}:
+    def _next_step(self, plan: '_Plan', outcome: AttemptResult) -> Step:
+        if outcome.ending in {Ending.unsent, Ending.declined}:
             self._sends = Sends(self._sends.run, self._sends.not_run + 1)
         else:
             self._sends = Sends(self._sends.run + 1, self._sends.not_run)
-        step = decide(plan.route, ended.ending, self._sends)
-        if step in {Step.resend, Step.resume} and not self._may_go_on(
+        step = decide(plan.route, outcome.ending, self._sends)
+        if step in {Step.resend, Step.resume} and not self._may_retry(
             plan,
-            ended,
+            outcome,
         ):
-            return give_up(ended.ending, has_run=self._sends.run > 0)
+            return give_up(outcome.ending, has_run=self._sends.run > 0)
         return step
 
-    def _may_go_on(self, plan: '_Plan', ended: Ended) -> bool:
-        if plan.ends_s - _now_s() < LEFT_LEAST_S:
+    def _may_retry(self, plan: '_Plan', outcome: AttemptResult) -> bool:
+        if plan.deadline_s - _now_s() < MIN_ATTEMPT_S:
             return False
-        if ended.ending is Ending.unsent:
+        if outcome.ending is Ending.unsent:
             return True
-        return self._tools.may_retry(plan.service)
+        return self._context.may_retry(plan.service)
 
-    def _deliver(self, plan: '_Plan', ended: Ended) -> None:
+    def _deliver(self, plan: '_Plan', outcome: AttemptResult) -> None:
         if self._has_begun:
             self._caller.end_stream()
         else:
             self._caller.answer(
-                ended.head.status, ended.head.headers, ended.body
+                outcome.head.status, outcome.head.headers, outcome.body
             )
-        self._note_answer()
+        self._record_answer()
 
-    def _note_answer(self) -> None:
-        metrics, tap = self._tools.metrics, self._tap
+    def _record_answer(self) -> None:
+        metrics, tap = self._context.metrics, self._tap
         events = tap.count if tap else 0
         first_ms = tap.first_ms if tap else 0
         pause_ms = tap.pause_ms if tap else 0
         age_s = self._age_s()
-        metrics.answered(self._node, events)
-        metrics.ended(self._node, ANSWERED, age_s)
+        metrics.answered(self._route_name, events)
+        metrics.ended(self._route_name, ANSWERED, age_s)
         if tap is not None:
             metrics.streamed(
-                self._node,
+                self._route_name,
                 first_ms / MS_PER_S,
                 pause_ms / MS_PER_S,
             )
-        self._tools.log.often(
+        self._context.log.often(
             'A request was answered.',
             call=self._call.call_id,
             server=self._server,
@@ -314,19 +334,19 @@
             age_ms=_in_ms(age_s),
         )
 
-    def _finish(self, step: Step, ended: Ended) -> None:
+    def _finish(self, step: Step, outcome: AttemptResult) -> None:
         if self._has_begun or step is Step.cut:
             self._cut(Code.stream_cut)
-        elif step is Step.pass_on and not ended.head.promises_not_run:
+        elif step is Step.pass_on and not outcome.head.promises_not_run:
             self._caller.answer(
-                ended.head.status, ended.head.headers, ended.body
+                outcome.head.status, outcome.head.headers, outcome.body
             )
         elif step is Step.tell_not_run:
             self._refuse(Code.no_backend_server)
         else:
             self._refuse(Code.outcome_unknown)
 
-    def _end_late(self, plan: '_Plan') -> None:
+    def _end_timed_out(self, plan: '_Plan') -> None:
         if self._has_begun:
             self._cut(Code.stream_silent)
         elif self._in_flight or self._sends.run:
@@ -335,7 +355,10 @@
             self._refuse(Code.wait_too_long)
 
     def _end_refused(self, error: RefusedError) -> None:
-        """End a request that got no server, by what earlier sends did."""
+        """End a request that got no server.
+
+        It is refused as not run only if no earlier send may have run.
+        """
         if self._has_begun:
             self._cut(error.code)
         elif self._sends.run:
@@ -344,39 +367,39 @@
             self._refuse(error.code, error.retry_after_ms)
 
     def _cut(self, code: Code) -> None:
-        self._note(STREAM_CUT, code)
+        self._record_failure(STREAM_CUT, code)
         self._caller.cut_stream()
 
     def _refuse(self, code: Code, retry_after_ms: int = 0) -> None:
         meaning = MEANINGS[code]
-        self._note(REQUEST_REFUSED, code)
+        self._record_failure(REQUEST_REFUSED, code)
         headers: tuple[tuple[bytes, bytes], ...] = ()
         if meaning.status == STATUS_UNAVAILABLE:
-            wait_s = max(RETURN_LEAST_S, retry_after_ms / MS_PER_S)
-            wait_s += random.uniform(0, RETURN_SPREAD_S)
+            wait_s = max(MIN_RETRY_AFTER_S, retry_after_ms / MS_PER_S)
+            wait_s += random.uniform(0, RETRY_AFTER_JITTER_S)
             headers = ((b'Retry-After', b'%.3f' % wait_s),)
         self._caller.answer(meaning.status, headers, meaning.text.encode())
 
-    def _note(self, sentence: str, code: Code) -> None:
+    def _record_failure(self, sentence: str, code: Code) -> None:
         age_s = self._age_s()
-        self._tools.metrics.refused(code)
-        self._tools.metrics.ended(self._node, code.name, age_s)
-        self._tools.log.note(
+        self._context.metrics.refused(code)
+        self._context.metrics.ended(self._route_name, code.name, age_s)
+        self._context.log.note(
             sentence,
             call=self._call.call_id,
             code=int(code),
             reason=code.name,
-            route=self._node,
+            route=self._route_name,
             server=self._server,
-            waiting=self._tools.assigner.waiting,
+            waiting=self._context.assigner.waiting,
             age_ms=_in_ms(age_s),
         )
 
     def _log_grant(self, ticket: Ticket, view: ServerView) -> None:
-        load = self._tools.assigner.load_of(ticket, view.name)
+        load = self._context.assigner.server_load(ticket, view.name)
         waited_s = _now_s() - ticket.opened_s
-        self._tools.metrics.waited(ticket.node, waited_s)
-        self._tools.log.often(
+        self._context.metrics.waited(ticket.node, waited_s)
+        self._context.log.often(
             'A request goes to a server.',
             call=self._call.call_id,
             route=ticket.node,
@@ -389,16 +412,18 @@
             waited_ms=_in_ms(waited_s),
         )
 
-    def _log_step(self, plan: '_Plan', ended: Ended, step: Step) -> None:
-        self._tools.log.note(
+    def _log_step(
+        self, plan: '_Plan', outcome: AttemptResult, step: Step
+    ) -> None:
+        self._context.log.note(
             ATTEMPT_FAILED,
             call=self._call.call_id,
             route=plan.route.name,
             version=plan.table.version,
             server=self._server,
-            ending=ended.ending.value,
-            cause=ended.cause,
-            status=ended.head.status if ended.head else 0,
+            ending=outcome.ending.value,
+            cause=outcome.cause,
+            status=outcome.head.status if outcome.head else 0,
             step=step.value,
             age_ms=_in_ms(self._age_s()),
         )
@@ -418,12 +443,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _Plan:
-    """Hold what stays the same over all attempts."""
+    """What all attempts of a request have in common.
+
+    :param deadline_s: end of the request, on the event loop's clock.
+    """
 
     route: Route
     workspace: Workspace | None
     service: str
-    ends_s: float
+    deadline_s: float
     table: RouteTable
 
     @property
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -1,7 +1,8 @@
-"""Learn at the start which prompt parts the model engines keep.
+"""Query the model engines at start for the prompt parts in their KV caches.
 
-Answers the load after a restart of many instances: engines outlive them and
-keep their parts, which would be read again if prompts went elsewhere.
+Engines keep running, with their caches, while instances restart. After a
+restart of many instances, prompts sent to other engines than before would have
+to be prefilled again; the query avoids this load.
 """
 
 import asyncio
@@ -13,70 +14,72 @@
 from siskinpass.connection.whole_answer import fetch
 from siskinpass.exceptions import BackendError, SiskinpassError
 from siskinpass.platform.engines import KEPT_PARTS_CALL, decode_kept_parts
-from siskinpass.process.fleet.tickets import pieces_of
+from siskinpass.process.fleet.tickets import hash_parts
 from siskinpass.process.logs import PartLog
 from siskinpass.request.inbound import STATUS_OK, Prompt
 from siskinpass.request.ticket import PromptPlaced, ServerView
 
-# An engine answers between two steps, which take up to 0.2 s while it is slow;
-# later than this, requests have taught more than the answer tells.
-ANSWER_S = 1.0
-# A list holds up the engine's work. Each instance of a large fleet asks only
-# some engines, so that none gets more calls than on the users' smaller sites.
-ENGINES_MOST = 12
+# An engine answers between two steps, which take up to 0.2 s on a slow engine.
+# After this time, placed requests have given more information than the answer
+# would.
+ANSWER_TIMEOUT_S = 1.0
+# Listing its cache delays an engine's other work. Each instance of a large
+# fleet queries only some engines, so that no engine gets more calls than at the
+# users' smaller sites.
+MAX_ENGINES = 12
 
 
-class KeptParts:
-    """Ask each engine once what it keeps, or some of them where they are many.
+class KeptPartsLoader:
+    """Loader of the prompt parts that the engines have cached.
 
-    A part that an engine keeps in part counts as whole.
+    Queries each engine once, or a random sample of ``MAX_ENGINES``. A part that
+    an engine has cached incompletely counts as complete.
 
     :param backends: connections to the engines.
-    :param tell: takes the parts of one engine.
-    :param answer_s: longest time that an engine's answer is waited for.
+    :param on_parts: called with the parts of each engine that answers.
+    :param timeout_s: longest wait for an engine's answer.
     """
 
     def __init__(
         self,
         backends: BackendPool,
-        tell: Callable[[PromptPlaced], None],
-        answer_s: float = ANSWER_S,
+        on_parts: Callable[[PromptPlaced], None],
+        timeout_s: float = ANSWER_TIMEOUT_S,
     ) -> None:
-        """Ask nothing yet."""
         self._backends = backends
-        self._tell = tell
-        self._answer_s = answer_s
+        self._on_parts = on_parts
+        self._timeout_s = timeout_s
         self._log = PartLog('kept-parts')
 
-    async def learn(self, engines: Iterable[ServerView]) -> None:
-        """Ask all engines at once."""
+    async def load(self, engines: Iterable[ServerView]) -> None:
+        """Query the engines concurrently; failures are only logged."""
         known = tuple(engines)
-        asked = random.sample(known, min(len(known), ENGINES_MOST))
-        await asyncio.gather(*(self._learn_one(one) for one in asked))
+        sampled = random.sample(known, min(len(known), MAX_ENGINES))
+        await asyncio.gather(*(self._load_one(one) for one in sampled))
 
-    async def _learn_one(self, engine: ServerView) -> None:
+    async def _load_one(self, engine: ServerView) -> None:
         try:
-            parts = decode_kept_parts(await self._ask(engine.address))
+            parts = decode_kept_parts(await self._fetch(engine.address))
         except SiskinpassError as error:
             self._log.warn(
-                'An engine does not tell what it keeps.',
+                'An engine did not list its cached prompt parts.',
                 server=engine.name,
                 cause=str(error),
             )
             return
-        self._tell(PromptPlaced(engine.name, pieces_of(Prompt(parts))))
+        self._on_parts(PromptPlaced(engine.name, hash_parts(Prompt(parts))))
         self._log.note(
-            'An engine told what it keeps.',
+            'An engine listed its cached prompt parts.',
             server=engine.name,
             parts=len(parts),
         )
 
-    async def _ask(self, address: str) -> bytes:
+    async def _fetch(self, address: str) -> bytes:
         answer = await fetch(
             self._backends,
             address,
             KEPT_PARTS_CALL,
-            self._answer_s,
+            self._timeout_s,
         )
         if answer.status != STATUS_OK:
             raise BackendError(Code.backend_error, f'status {answer.status}')
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -1,4 +1,4 @@
-"""Run the parts of one entry instance and pass messages between them."""
+"""Entry instance: creates its parts, connects, starts and stops them."""
 
 import asyncio
 import signal
@@ -14,8 +14,8 @@
 from siskinpass.process.broker import BrokerPolicy
 from siskinpass.process.fleet.assigner import Assigner
 from siskinpass.process.fleet.budgets import RetryBudgets
-from siskinpass.process.fleet.forward import Forwarder, Tools
-from siskinpass.process.fleet.kept_parts import KeptParts
+from siskinpass.process.fleet.forward import ForwardContext, Forwarder
+from siskinpass.process.fleet.kept_parts import KeptPartsLoader
 from siskinpass.process.fleet.loads import LoadExchange
 from siskinpass.process.fleet.members import FleetMembers
 from siskinpass.process.fleet.policy import fleet_policy
@@ -29,19 +29,19 @@
 from siskinpass.request.retry_window import RetryWindow
 from siskinpass.request.ticket import PromptPlaced, ServerLoad
 
-BACKLOG = 1024  # connections that wait to be accepted, as in a burst
-TICK_S = 0.1  # a tenth of the shortest bound that is checked in it
-LOADS_PORT_STEP = 2  # from the port of the heartbeats to that of the loads
-# Kept connections to backend servers are reused for long, new ones are dear;
-# the server's own Keep-Alive shortens this.
-IDLE_MOST = 64
-BACKEND_POOL = PoolPolicy(connect_s=1.0, idle_s=60.0, idle_most=IDLE_MOST)
-# A directory answer is kept for up to three times as long; the shorter, the
-# sooner callers leave an instance that stops.
+BACKLOG = 1024  # connections waiting for accept, sized for bursts
+TICK_S = 0.1  # a tenth of the shortest time limit that it checks
+LOADS_PORT_STEP = 2  # offset of the load port from the heartbeat port
+# Idle connections to backend servers are kept long, because opening new ones is
+# expensive; a server's Keep-Alive header shortens the time.
+MAX_IDLE = 64
+BACKEND_POOL = PoolPolicy(connect_s=1.0, idle_s=60.0, idle_most=MAX_IDLE)
+# Callers cache a directory answer for up to three times its TTL. With a shorter
+# TTL they leave a stopping instance sooner.
 DIRECTORY_TTL_S = 1
-KEPT_ANSWERS = 3
-CROSSING_S = 0.3  # requests that were sent before a listener closed arrive
-EXIT_MARGIN_S = 0.3  # before the kill that follows the grace time
+CACHED_TTLS = 3
+LATE_ARRIVAL_S = 0.3  # requests sent before the listener closed
+EXIT_MARGIN_S = 0.3  # ahead of the kill at the end of the grace time
 STATUS_OK = 200
 STATUS_NOT_FOUND = 404
 STATUS_UNAVAILABLE = 503
@@ -50,38 +50,38 @@
 
 
 class FleetNode:
-    """Own the parts of one process."""
+    """Owner of all parts of one process."""
 
     def __init__(self, settings: FleetSettings) -> None:
-        """Make the parts; nothing is opened yet."""
+        """Create the parts without opening sockets or starting tasks."""
         self._settings = settings
         self._loop = asyncio.get_running_loop()
         self._log = PartLog('node')
         self._metrics = Metrics()
-        self._directory_s = min(
+        self._directory_ttl_s = min(
             DIRECTORY_TTL_S,
-            settings.promises.directory_s,
+            settings.operator_bounds.directory_s,
         )
         self._stopping = asyncio.Event()
         self._callers: set[HttpCaller] = set()
         self._listeners: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._store = StoreClient(settings.store, self._note_store_call)
+        self._store = StoreClient(settings.store, self._count_store_call)
         self._members = FleetMembers(settings, self._store)
-        self._assigner = Assigner(self._policy_of, self._tell_placed)
-        self._state = StoredState(self._assigner.list_servers)
+        self._assigner = Assigner(self._policy_for, self._send_placement)
+        self._state = StoredState(self._assigner.set_servers)
         self._backends = BackendPool(self._loop, BACKEND_POOL)
-        self._forwarder = Forwarder(self._tools())
+        self._forwarder = Forwarder(self._forward_context())
         self._loads = LoadExchange(
             settings.name,
             self._own_loads,
             partial(self._members.peer_sockets, LOADS_PORT_STEP),
-            self._assigner.take_peer_loads,
-            self._assigner.note_placed,
+            self._assigner.set_peer_loads,
+            self._assigner.record_placement,
         )
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until SIGTERM or SIGINT, then drain and return."""
         self._log.note('The process starts.', instance=self._settings.name)
         self._watch_signals()
         await self._open_peers()
@@ -97,8 +97,11 @@
             await stopping
         await self._drain()
 
-    def _learn_kept_parts(self) -> None:
-        """Ask the engines, which may have run before this process."""
+    def _load_kept_parts(self) -> None:
+        """Query the engines' caches, except on the system's first start.
+
+        Engines may have been running before this process.
+        """
         if self._settings.is_first_start:
             return
         services = self._state.table().services
@@ -107,16 +110,18 @@
             for view in self._assigner.servers
             if view.pool in services and services[view.pool].engine
         ]
-        learner = KeptParts(self._backends, self._assigner.note_placed)
-        self._start(learner.learn(engines))
+        loader = KeptPartsLoader(
+            self._backends, self._assigner.record_placement
+        )
+        self._start(loader.load(engines))
 
-    def _tools(self) -> Tools:
-        bounds = self._settings.promises.retries
+    def _forward_context(self) -> ForwardContext:
+        bounds = self._settings.operator_bounds.retries
         budgets = RetryBudgets(
             partial(RetryWindow, bounds.ratio, bounds.slack, bounds.window_s),
-            lambda: self._members.most,
+            lambda: self._members.max_seen,
         )
-        return Tools(
+        return ForwardContext(
             table=self._state.table,
             assigner=self._assigner,
             backends=self._backends,
@@ -126,20 +131,20 @@
         )
 
     def _watch_signals(self) -> None:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self._stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self._stopping.set)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _start(self, work: Coroutine[None, None, None]) -> None:
         self._tasks.append(self._loop.create_task(work))
 
     def _follow_store(self) -> None:
-        wait_s = watch_wait_s(self._settings.promises.contact_s)
-        for kind, tell in (
-            (CONFIG_KIND, self._state.take_config),
-            (WORKERS_KIND, self._state.take_workers),
+        wait_s = watch_wait_s(self._settings.operator_bounds.contact_s)
+        for kind, callback in (
+            (CONFIG_KIND, self._state.apply_config),
+            (WORKERS_KIND, self._state.apply_workers),
         ):
-            self._start(KindWatch(self._store, kind, wait_s, tell).run())
+            self._start(KindWatch(self._store, kind, wait_s, callback).run())
         self._start(self._members.register())
 
     async def _open_peers(self) -> None:
@@ -165,11 +170,13 @@
         )
 
     async def _open_callers(self) -> None:
-        self._learn_kept_parts()
+        self._load_kept_parts()
         settings = self._settings
         await self._listen(settings.callers, self._forwarder.serve)
         await self._listen(settings.directory, self._serve_directory)
-        self._log.note('The instance serves.', version=self._state.version)
+        self._log.note(
+            'The instance accepts callers.', version=self._state.version
+        )
 
     async def _listen(self, address: str, serve: Serve) -> None:
         host, port = address.rsplit(':', 1)
@@ -188,8 +195,8 @@
         return caller
 
     async def _drain(self) -> None:
-        """Stop taking work, finish what is open, then leave."""
-        ends_s = self._loop.time() + self._settings.promises.grace_s
+        """Stop accepting requests, finish the open ones and close."""
+        deadline_s = self._loop.time() + self._settings.operator_bounds.grace_s
         self._log.note(
             'The instance is leaving.',
             open=self._forwarder.open_requests,
@@ -197,24 +204,24 @@
         for caller in self._callers:
             caller.is_leaving = True
         self._start(self._members.leave(self._state.version))
-        # Callers that kept an answer of the directory still come.
-        await asyncio.sleep(KEPT_ANSWERS * self._directory_s)
+        # Callers with a cached directory answer still connect.
+        await asyncio.sleep(CACHED_TTLS * self._directory_ttl_s)
         for listener in self._listeners:
             listener.close()
-        await asyncio.sleep(CROSSING_S)
+        await asyncio.sleep(LATE_ARRIVAL_S)
         for caller in self._callers:
             caller.leave()
-        await self._finish_open(ends_s - EXIT_MARGIN_S)
+        await self._finish_open(deadline_s - EXIT_MARGIN_S)
         self._log.note('The process ends.', cut=self._forwarder.open_requests)
 
-    async def _finish_open(self, ends_s: float) -> None:
-        while self._forwarder.open_requests and self._loop.time() < ends_s:
+    async def _finish_open(self, deadline_s: float) -> None:
+        while self._forwarder.open_requests and self._loop.time() < deadline_s:
             await asyncio.sleep(TICK_S)
-        # Lets the last answers reach their callers.
+        # Gives the last answers time to reach their callers.
         await asyncio.sleep(TICK_S)
 
     def _reload(self) -> None:
-        self._log.note('A signal tells of changed settings; none is in use.')
+        self._log.note('Ignored SIGHUP: no setting can be reloaded.')
 
     async def _tick(self) -> None:
         while True:
@@ -222,14 +229,14 @@
             self._state.expire_missing()
             self._callers = {one for one in self._callers if one.is_open}
 
-    def _policy_of(self, pool: str) -> BrokerPolicy:
+    def _policy_for(self, pool: str) -> BrokerPolicy:
         table = self._state.table()
         service = table.services.get(pool) if table else None
         engine = service.engine if service else None
         return fleet_policy(engine.memory_tokens if engine else 0)
 
-    def _tell_placed(self, placed: PromptPlaced) -> None:
-        self._loads.tell_placed(placed)
+    def _send_placement(self, placed: PromptPlaced) -> None:
+        self._loads.send_placement(placed)
 
     def _own_loads(self) -> dict[str, ServerLoad]:
         return self._assigner.loads
@@ -253,13 +260,13 @@
         caller: HttpCaller,
         request: WireRequest,
     ) -> None:
-        asked = directory.decode_question(request.target.decode('latin-1'))
-        if asked is None:
+        query = directory.decode_question(request.target.decode('latin-1'))
+        if query is None:
             caller.answer(STATUS_NOT_FOUND)
             return
-        told = addresses_near(self._members.serving, asked.zone)
-        body = directory.encode_answer(told, self._directory_s)
+        addresses = addresses_near(self._members.serving, query.zone)
+        body = directory.encode_answer(addresses, self._directory_ttl_s)
         caller.answer(STATUS_OK, (JSON,), body)
 
-    def _note_store_call(self, call: str, outcome: str) -> None:
+    def _count_store_call(self, call: str, outcome: str) -> None:
         self._metrics.store_called(f'{call} {outcome}')
--- a/src/siskinpass/process/fleet/state.py
+++ b/src/siskinpass/process/fleet/state.py
@@ -1,4 +1,4 @@
-"""Keep what the store told: the routing table and the backend servers."""
+"""Routing table and backend servers, as read from the store."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -7,7 +7,12 @@
 from siskinpass.platform.config import CONFIG_NAME, decode_config
 from siskinpass.platform.objects import StoredObject
 from siskinpass.platform.workers import decode_worker
-from siskinpass.process.fleet.watch import Changed, Listed, Lost, News
+from siskinpass.process.fleet.watch import (
+    Changed,
+    Listed,
+    StoreUnavailable,
+    StoreUpdate,
+)
 from siskinpass.process.known_servers import KnownServers
 from siskinpass.process.logs import PartLog
 from siskinpass.request.ticket import ServerView
@@ -15,17 +20,16 @@
 
 
 class StoredState:
-    """Own the newest routing table and the registry's entries.
+    """Holder of the newest routing table and the registered servers.
 
-    :param on_servers: takes the servers whenever they or the configuration
-        changed.
+    :param on_servers: called with all servers whenever they or the
+        configuration changed.
     """
 
     def __init__(
         self,
         on_servers: Callable[[Iterable[ServerView]], None],
     ) -> None:
-        """Start without a table and without servers."""
         self._on_servers = on_servers
         self._loop = asyncio.get_running_loop()
         self._log = PartLog('state')
@@ -36,42 +40,48 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the configuration version in force, 0 before the first."""
         return self._table.version if self._table else 0
 
     def table(self) -> RouteTable | None:
-        """Return the routing table in force, none before the first."""
+        """Return the routing table in force, ``None`` before the first."""
         return self._table
 
     def caller_limits(self) -> CallerLimits:
-        """Return the bounds in force for what callers send."""
+        """Return the limits in force for requests, else the defaults."""
         return self._table.limits if self._table else CallerLimits()
 
-    def take_config(self, news: News) -> None:
-        """Take in what the store told of the configuration."""
-        if isinstance(news, Lost):
+    def apply_config(self, update: StoreUpdate) -> None:
+        """Apply a store update of the configuration.
+
+        Unreadable and older versions are ignored, and so is an outage of the
+        store.
+        """
+        if isinstance(update, StoreUnavailable):
             return
-        for stored in news.stored:
+        for stored in update.stored:
             if stored.name == CONFIG_NAME and not stored.is_deleted:
                 self._adopt(stored)
 
-    def take_workers(self, news: News) -> None:
-        """Take in what the store told of the backend servers."""
+    def apply_workers(self, update: StoreUpdate) -> None:
+        """Apply a store update of the backend servers."""
         now_s = self._loop.time()
-        if isinstance(news, Lost):
+        if isinstance(update, StoreUnavailable):
             self._servers.mark_unreachable(now_s)
             return
-        if isinstance(news, Listed):
-            self._servers.apply_listing(self._views(news.stored), now_s)
-        elif isinstance(news, Changed):
-            for stored in news.stored:
+        if isinstance(update, Listed):
+            self._servers.apply_listing(
+                self._decode_views(update.stored), now_s
+            )
+        elif isinstance(update, Changed):
+            for stored in update.stored:
                 self._change(stored, now_s)
         self._has_servers = True
         self._on_servers(self._servers.views)
         self._check_ready()
 
     def expire_missing(self) -> None:
-        """Drop the servers that stayed missing after an outage."""
+        """Remove the servers that are still missing after a store outage."""
         if self._servers.expire_missing(self._loop.time()):
             self._on_servers(self._servers.views)
 
@@ -80,7 +90,7 @@
             table = decode_config(stored.body)
         except FormatError as error:
             self._log.warn(
-                'A configuration cannot be read; the one before holds.',
+                'Ignored an unreadable configuration; the previous one stays.',
                 revision=stored.revision,
                 cause=str(error),
             )
@@ -98,7 +108,9 @@
         self._check_ready()
 
     def _change(self, stored: StoredObject, now_s: float) -> None:
-        views = () if stored.is_deleted else tuple(self._views((stored,)))
+        views = (
+            () if stored.is_deleted else tuple(self._decode_views((stored,)))
+        )
         for view in views:
             self._servers.put(view, now_s)
             self._log.note(
@@ -115,13 +127,15 @@
                 revision=stored.revision,
             )
 
-    def _views(self, stored: Iterable[StoredObject]) -> Iterable[ServerView]:
+    def _decode_views(
+        self, stored: Iterable[StoredObject]
+    ) -> Iterable[ServerView]:
         for entry in stored:
             try:
                 yield decode_worker(entry.name, entry.body)
             except FormatError as error:
                 self._log.warn(
-                    'An entry names no server.',
+                    'Ignored an unreadable server entry.',
                     entry=entry.name,
                     cause=str(error),
                 )
--- a/src/siskinpass/process/fleet/tickets.py
+++ b/src/siskinpass/process/fleet/tickets.py
@@ -1,4 +1,4 @@
-"""Make the tickets by which requests wait for a backend server. Pure logic."""
+"""Tickets with which requests wait for a backend server. Pure logic."""
 
 import hashlib
 from dataclasses import dataclass
@@ -8,21 +8,22 @@
 from siskinpass.request.ticket import PromptPiece, Ticket
 from siskinpass.version.routes import Route, RouteTable
 
-URGENCY_MOST = 9
+MAX_URGENCY = 9
 KEY_BYTES = 8
-# A request waits for a server for at most this part of the time that its caller
-# waits: a late answer is worth less, but one that is refused is worth nothing.
-PATIENCE_PART = 0.4
+# A request waits for a server for at most this fraction of its remaining time.
+# Waiting longer would make the answer late, which lowers its value; refusing
+# sooner would lose the whole value.
+WAIT_FRACTION = 0.4
 SHARE = 0.1
 
 
 class Plan(Protocol):
-    """Describe what a ticket is made for."""
+    """Properties of a request that its tickets depend on."""
 
     route: Route
     service: str
     table: RouteTable
-    ends_s: float
+    deadline_s: float
 
     @property
     def tier(self) -> int:
@@ -31,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """Identify one attempt of a request.
+    """One attempt of a request.
 
     :param ticket_id: unique in the process.
-    :param now_s: when it starts.
-    :param avoid: backend server that just failed for this request.
+    :param now_s: start of the attempt, on the event loop's clock.
+    :param avoid: backend server of the previous attempt, which failed.
     """
 
     ticket_id: str
@@ -51,7 +52,7 @@
     """Return the ticket of one attempt."""
     route = plan.route
     prompt = call.prompt
-    left_s = plan.ends_s - attempt.now_s
+    remaining_s = plan.deadline_s - attempt.now_s
     return Ticket(
         ticket_id=attempt.ticket_id,
         entry='',
@@ -60,9 +61,9 @@
         tier=plan.tier,
         opened_s=attempt.now_s,
         target_s=route.target_s,
-        patience_s=left_s * PATIENCE_PART,
+        patience_s=remaining_s * WAIT_FRACTION,
         share=SHARE,
-        pieces=pieces_of(prompt),
+        pieces=hash_parts(prompt),
         pausable=False,
         avoid=attempt.avoid,
         tokens_in=prompt.tokens_in,
@@ -70,16 +71,16 @@
     )
 
 
-def pieces_of(prompt: Prompt) -> tuple[PromptPiece, ...]:
-    """Return the parts of a prompt by hashes of their names."""
+def hash_parts(prompt: Prompt) -> tuple[PromptPiece, ...]:
+    """Return the parts of a prompt, with hashes in place of their names."""
     return tuple(
         PromptPiece(_hash(part.key), part.tokens) for part in prompt.parts
     )
 
 
-def urgency_of(tier: int) -> int:
-    """Return the engine's urgency for a tier."""
-    return min(URGENCY_MOST, max(0, tier))
+def engine_urgency(tier: int) -> int:
+    """Return the urgency to send to the server, the tier within 0 to 9."""
+    return min(MAX_URGENCY, max(0, tier))
 
 
 def _hash(key: str) -> int:
--- a/src/siskinpass/process/fleet/watch.py
+++ b/src/siskinpass/process/fleet/watch.py
@@ -1,4 +1,4 @@
-"""Follow the objects of one kind in the store."""
+"""Watch of the objects of one kind in the store."""
 
 import asyncio
 import random
@@ -10,49 +10,52 @@
 from siskinpass.process.fleet.store_client import WATCH_MARGIN_S, StoreClient
 from siskinpass.process.logs import PartLog
 
-# An answer that was lost leaves its connection open and silent. A watch has to
-# be asked anew within the time after which an instance counts as in touch
-# again, less what the listing that follows may take.
-LISTING_S = 0.1
-RETRY_LEAST_S = 0.1
-RETRY_MOST_S = 0.6
+# A lost answer leaves its connection open without data. The watch has to be
+# repeated within the time after which an instance counts as connected again,
+# less the time that the listing that follows may take.
+LIST_MARGIN_S = 0.1
+MIN_RETRY_S = 0.1
+MAX_RETRY_S = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """All objects of the kind as they are now."""
+    """Current list of all objects of the kind."""
 
     stored: tuple[StoredObject, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """Objects changed, in order."""
+    """Changed and deleted objects, in the order of their changes."""
 
     stored: tuple[StoredObject, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """The store stopped answering."""
+class StoreUnavailable:
+    """The store does not answer."""
 
 
-News = Listed | Changed | Lost
+StoreUpdate = Listed | Changed | StoreUnavailable
 
 
 def watch_wait_s(contact_s: float) -> float:
-    """Return how long a watch may wait.
+    """Return the longest wait to request from the store, in seconds.
 
-    :param contact_s: calm time after which an instance counts as in touch.
+    :param contact_s: time without faults after which an instance counts as
+        connected again.
     """
-    return contact_s - LISTING_S - WATCH_MARGIN_S
+    return contact_s - LIST_MARGIN_S - WATCH_MARGIN_S
 
 
 class KindWatch:
-    """List a kind once, then follow its changes.
+    """Watch that lists a kind once, then follows its changes.
 
-    :param wait_s: longest time that a watch waits, with its margin.
-    :param tell: takes what was learnt.
+    :param wait_s: longest wait to request from the store, without
+        ``WATCH_MARGIN_S``.
+    :param on_update: called with each update, and after each failed call with
+        ``StoreUnavailable``.
     """
 
     def __init__(
@@ -60,33 +63,32 @@
         store: StoreClient,
         kind: str,
         wait_s: float,
-        tell: Callable[[News], None],
+        on_update: Callable[[StoreUpdate], None],
     ) -> None:
-        """Start without a revision."""
         self._store = store
         self._kind = kind
-        self._tell = tell
+        self._on_update = on_update
         self._wait_s = wait_s
         self._log = PartLog('store')
         self._revision: int | None = None
         self._failures = 0
 
     async def run(self) -> None:
-        """Follow the kind until cancelled."""
+        """Watch the kind until cancelled, with backoff after failures."""
         while True:
             try:
                 await self._step()
             except (StoreError, FormatError) as error:
-                self._lose(error)
-                await asyncio.sleep(self._pause_s())
+                self._handle_failure(error)
+                await asyncio.sleep(self._backoff_s())
             else:
-                self._regain()
+                self._handle_success()
 
     async def _step(self) -> None:
         if self._revision is None:
             page = await self._store.list_kind(self._kind)
             self._revision = page.revision
-            self._tell(Listed(page.stored))
+            self._on_update(Listed(page.stored))
             return
         page = await self._store.watch_kind(
             self._kind,
@@ -94,19 +96,22 @@
             self._wait_s,
         )
         if page is None:
-            self._log.note('History is gone; listing anew.', kind=self._kind)
+            self._log.note(
+                'The store no longer has the history; listing again.',
+                kind=self._kind,
+            )
             self._revision = None
             return
-        self._take(page)
+        self._apply_page(page)
 
-    def _take(self, page: Page) -> None:
+    def _apply_page(self, page: Page) -> None:
         self._revision = page.revision
         if page.stored:
-            self._tell(Changed(page.stored))
+            self._on_update(Changed(page.stored))
 
-    def _lose(self, error: Exception) -> None:
+    def _handle_failure(self, error: Exception) -> None:
         self._failures += 1
-        # A missed change shows only in a listing.
+        # Only a new listing shows changes that were missed.
         self._revision = None
         if self._failures == 1:
             self._log.warn(
@@ -114,13 +119,13 @@
                 kind=self._kind,
                 cause=str(error),
             )
-        self._tell(Lost())
+        self._on_update(StoreUnavailable())
 
-    def _regain(self) -> None:
+    def _handle_success(self) -> None:
         if self._failures:
             self._log.note('The store answers again.', kind=self._kind)
         self._failures = 0
 
-    def _pause_s(self) -> float:
-        most_s = min(RETRY_MOST_S, RETRY_LEAST_S * 2**self._failures)
-        return random.uniform(RETRY_LEAST_S, most_s)
+    def _backoff_s(self) -> float:
+        max_s = min(MAX_RETRY_S, MIN_RETRY_S * 2**self._failures)
+        return random.uniform(MIN_RETRY_S, max_s)
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -1,4 +1,4 @@
-"""Test how an instance's brokers follow what the store tells."""
+"""Test how an instance's brokers follow the updates of the store."""
 
 import asyncio
 
@@ -26,19 +26,18 @@
 
 
 def listed(name, body):
-    """Return the news of one stored object."""
+    """Return a store update that lists one object."""
     return Listed((StoredObject(name, 1, body),))
 
 
 class Instance:
-    """Hold an assigner and the state that it follows."""
+    """Assigner with the stored state that it follows."""
 
     def __init__(self):
-        """Start before the store told anything."""
-        self.assigner = Assigner(self._policy_of, lambda news: None)
-        self.state = StoredState(self.assigner.list_servers)
+        self.assigner = Assigner(self._policy_for, lambda update: None)
+        self.state = StoredState(self.assigner.set_servers)
 
-    def _policy_of(self, pool):
+    def _policy_for(self, pool):
         table = self.state.table()
         service = table.services.get(pool) if table else None
         memory_tokens = service.engine.memory_tokens if service else 0
@@ -46,16 +45,22 @@
 
 
 class TestEngineMemory:
-    """Test that cached parts are known in whatever order the store tells."""
+    """Test that cached parts are tracked for any order of store updates."""
 
     def test_servers_before_the_configuration(self):
-        """An engine listed before its service was described caches as well."""
+        """Parts are tracked on an engine listed before its configuration.
 
-        async def play():
+        Guards against an engine whose cache size stays 0 because the
+        configuration arrives only after the engine was listed.
+        """
+
+        async def scenario():
             instance = Instance()
-            instance.state.take_workers(listed('e-1', WORKER))
-            instance.state.take_config(listed(CONFIG_NAME, CONFIG))
-            instance.assigner.note_placed(PromptPlaced('e-1', (PART,)))
+            instance.state.apply_workers(listed('e-1', WORKER))
+            instance.state.apply_config(listed(CONFIG_NAME, CONFIG))
+            instance.assigner.record_placement(PromptPlaced('e-1', (PART,)))
             return instance.assigner.broker('lm').table.cache
 
-        assert asyncio.run(play()).cached_tokens('e-1', (PART,)) == PART.tokens
+        assert (
+            asyncio.run(scenario()).cached_tokens('e-1', (PART,)) == PART.tokens
+        )
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Test following the store over answers that are lost."""
+"""Test watching the store when answers are lost or the store is down."""
 
 import asyncio
 
@@ -9,91 +9,96 @@
     Changed,
     KindWatch,
     Listed,
-    Lost,
+    StoreUnavailable,
     watch_wait_s,
 )
 from standins.fleet import ObjectStore
 from standins.http_server import serve
-from tests.fleet import free_ports, until
+from tests.fleet import free_ports, wait_until
 
 KIND = 'things'
 
 
 class Follower:
-    """Keep the objects that a watch told of."""
+    """Names of the objects according to a watch's updates."""
 
     def __init__(self):
-        self.known = set()
-        self.lost = 0
+        self.names = set()
+        self.unavailable_count = 0
 
-    def take(self, news):
-        """Take in one piece of news."""
-        if isinstance(news, Lost):
-            self.lost += 1
+    def apply(self, update):
+        """Apply one update."""
+        if isinstance(update, StoreUnavailable):
+            self.unavailable_count += 1
             return
-        if isinstance(news, Listed):
-            self.known = set()
-        assert isinstance(news, Listed | Changed)
-        for stored in news.stored:
+        if isinstance(update, Listed):
+            self.names = set()
+        assert isinstance(update, Listed | Changed)
+        for stored in update.stored:
             if stored.is_deleted:
-                self.known.discard(stored.name)
+                self.names.discard(stored.name)
             else:
-                self.known.add(stored.name)
+                self.names.add(stored.name)
 
 
 async def follow(scenario, wait_s=0.2):
-    """Run a scenario beside a watch."""
+    """Run a scenario while a watch follows a store."""
     store, follower = ObjectStore(), Follower()
     port = free_ports(1)[0]
     server = await serve(store, '127.0.0.1', port)
     client = StoreClient(f'127.0.0.1:{port}', lambda call, outcome: None)
-    watch = KindWatch(client, KIND, wait_s, follower.take)
+    watch = KindWatch(client, KIND, wait_s, follower.apply)
     task = asyncio.create_task(watch.run())
     await store.put(KIND, 'first', 1)
-    await until(lambda: 'first' in follower.known, 'the first object')
+    await wait_until(lambda: 'first' in follower.names, 'the first object')
     await scenario(store, follower)
     task.cancel()
     server.close()
 
 
 class TestKindWatch:
-    """Test what a watch learns whatever becomes of its answers."""
+    """Test that a watch reports all changes, whatever happens to answers."""
 
     def test_follows_changes_and_deletions(self):
-        """Each change is told once it is made."""
+        """Each change and each deletion is reported."""
 
         async def scenario(store, follower):
             await store.put(KIND, 'second', 1)
             await store.remove(KIND, 'first')
-            await until(lambda: follower.known == {'second'}, 'the changes')
+            await wait_until(
+                lambda: follower.names == {'second'}, 'the changes'
+            )
 
         asyncio.run(follow(scenario))
 
     def test_lost_answer_is_noticed(self):
-        """A watch whose answer is lost on an open connection is asked anew."""
+        """A watch whose answer is lost on an open connection is repeated."""
 
         async def scenario(store, follower):
             store.is_mute = True
             await store.put(KIND, 'second', 1)
-            await until(lambda: follower.lost, 'the silence to be noticed')
+            await wait_until(
+                lambda: follower.unavailable_count,
+                'the lost answer to be noticed',
+            )
             store.is_mute = False
-            await until(lambda: 'second' in follower.known, 'the change')
+            await wait_until(lambda: 'second' in follower.names, 'the change')
 
         asyncio.run(follow(scenario))
 
     def test_outage_is_noticed_and_its_changes_are_listed(self):
-        """What changed while the store hung up is found afterwards."""
+        """Changes made while the store closes connections are found later."""
 
         async def scenario(store, follower):
             await store.take_down()
-            await until(lambda: follower.lost, 'the outage')
+            await wait_until(lambda: follower.unavailable_count, 'the outage')
             await store.put(KIND, 'second', 1)
             store.is_down = False
-            await until(lambda: 'second' in follower.known, 'the change')
+            await wait_until(lambda: 'second' in follower.names, 'the change')
 
         asyncio.run(follow(scenario, wait_s=5.0))
 
     @pytest.mark.parametrize('contact_s', [3.0, 4.0])
-    def test_silence_is_noticed_before_an_instance_is_in_touch(self, contact_s):
-        """A lost answer must not outlast the time of being out of touch."""
+    def test_lost_answer_is_noticed_within_contact_time(self, contact_s):
+        """A lost answer is noticed before the instance counts as connected."""
         assert 0 < watch_wait_s(contact_s) + WATCH_MARGIN_S < contact_s
