--- a/bench/decision.py
+++ b/bench/decision.py
@@ -83,7 +83,7 @@
         tier=number % TIERS,
         opened_s=now_s,
         target_s=1.0,
-        patience_s=5.0,
+        max_wait_s=5.0,
         pausable=False,
         pieces=(
             PromptPiece(number % SHARED_PARTS, SHARED_TOKENS),
--- a/src/siskinpass/platform/headers.py
+++ b/src/siskinpass/platform/headers.py
@@ -62,7 +62,7 @@
         request=request,
         host=_text(found, b'host'),
         call_id=_text(found, CALL_ID),
-        patience_s=_number(_text(found, DEADLINE)) / MS_PER_S,
+        caller_timeout_s=_number(_text(found, DEADLINE)) / MS_PER_S,
         key=_bearer(_text(found, AUTHORIZATION)),
         resume_after=_text(found, RESUME),
         prompt=_prompt(found),
--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -128,7 +128,7 @@
         What waits here instead of at the engine keeps its order by target.
         """
         policy = self._policy
-        if server.load.unread_to(ticket.tier) > policy.unread_most:
+        if server.load.unread_at_or_above(ticket.tier) > policy.unread_most:
             return False
         if ticket.is_tight:
             # One prompt after the other stretches the streams' pauses least.
@@ -215,7 +215,7 @@
         name = server.view.name
         cached = self._cached[name]
         load = server.load
-        ahead = load.unread_to(self._ticket.tier)
+        ahead = load.unread_at_or_above(self._ticket.tier)
         behind = sum(load.unread) - ahead
         cost = ahead + behind * policy.behind_weight
         cost += self._ticket.tokens_in - cached
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -181,13 +181,13 @@
             self._table.mark_slow(self._now_s)
             self._move_from_slow()
         for ticket in self._waiting:
-            if ticket.gives_up_s <= self._now_s and not ticket.resumed:
+            if ticket.expires_s <= self._now_s and not ticket.resumed:
                 self._refuse(ticket, Code.wait_too_long)
         self._demand.tick(self._now_s)
 
     def _admit(self, ticket: Ticket) -> bool:
         wait_s = self._expected_wait_s(ticket)
-        if wait_s > ticket.patience_s:
+        if wait_s > ticket.max_wait_s:
             self._reply_refused(ticket, Code.wait_too_long, wait_s)
             return False
         if self._waiting.fresh < self._policy.queue_most:
@@ -213,7 +213,7 @@
         code: Code,
         wait_s: float,
     ) -> None:
-        excess_s = max(0, wait_s - ticket.patience_s / 2)
+        excess_s = max(0, wait_s - ticket.max_wait_s / 2)
         retry_ms = LEAST_RETRY_MS + int(excess_s * MS_PER_S)
         self._commands.append(
             Refused(ticket.ticket_id, ticket.entry, code, retry_ms),
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -17,9 +17,9 @@
     Event,
     Granted,
     GrantReleased,
-    PeerLoadsTold,
+    PeerLoadsReported,
+    PrefillCompleted,
     PromptPlaced,
-    PromptRead,
     Refused,
     ServerLoad,
     ServersListed,
@@ -105,22 +105,22 @@
 
     def note_prompt_read(self, ticket: Ticket) -> None:
         """Take the prompt's work off the ticket's server."""
-        self._apply(ticket.pool, PromptRead(ticket.ticket_id))
+        self._apply(ticket.pool, PrefillCompleted(ticket.ticket_id))
 
     def release(
         self,
         ticket: Ticket,
         *,
         failed: bool,
-        erred: bool = False,
+        server_error: bool = False,
     ) -> None:
         """Give a slot back.
 
         :param failed: whether the server failed the request.
-        :param erred: whether it answered with an error of its own.
+        :param server_error: whether it answered with an error of its own.
         """
         if self._asked.pop(ticket.ticket_id, None) is not None:
-            released = GrantReleased(ticket.ticket_id, failed, erred)
+            released = GrantReleased(ticket.ticket_id, failed, server_error)
             self._apply(ticket.pool, released)
 
     def list_servers(self, views: Iterable[ServerView]) -> None:
@@ -139,7 +139,7 @@
     def take_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
         """Take what the other instances run."""
         for pool in self._brokers:
-            self._apply(pool, PeerLoadsTold(loads))
+            self._apply(pool, PeerLoadsReported(loads))
 
     def note_placed(self, placed: PromptPlaced) -> None:
         """Take in a prompt that another instance placed."""
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -166,8 +166,8 @@
         workspace: Workspace | None,
         table: RouteTable,
     ) -> None:
-        patience_s = self._call.patience_s or DEFAULT_PATIENCE_S
-        ends_s = self._started_s + min(patience_s, route.timeout_s)
+        caller_timeout_s = self._call.caller_timeout_s or DEFAULT_PATIENCE_S
+        ends_s = self._started_s + min(caller_timeout_s, route.timeout_s)
         service = route.service_at(random.random())
         self._tools.note_request(service)
         self._node = route.name
@@ -216,7 +216,7 @@
         self._tools.assigner.release(
             ticket,
             failed=ending in {Ending.unsent, Ending.lost, Ending.cut},
-            erred=ending in {Ending.failed, Ending.declined},
+            server_error=ending in {Ending.failed, Ending.declined},
         )
 
     async def _send(
--- a/src/siskinpass/process/fleet/tickets.py
+++ b/src/siskinpass/process/fleet/tickets.py
@@ -60,7 +60,7 @@
         tier=plan.tier,
         opened_s=attempt.now_s,
         target_s=route.target_s,
-        patience_s=left_s * PATIENCE_PART,
+        max_wait_s=left_s * PATIENCE_PART,
         share=SHARE,
         pieces=pieces_of(prompt),
         pausable=False,
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -14,9 +14,9 @@
     GrantReleased,
     GrantReported,
     LoadEvent,
-    PeerLoadsTold,
+    PeerLoadsReported,
+    PrefillCompleted,
     PromptPlaced,
-    PromptRead,
     ServerLoad,
     ServersListed,
     Ticket,
@@ -84,7 +84,7 @@
         server = self._table.find(held.server)
         if server is not None:
             server.add(-held.load)
-            in_trouble = event.failed or event.erred
+            in_trouble = event.failed or event.server_error
             server.note_outcome(now_s, in_trouble=in_trouble)
             server.note_end(now_s, failed=event.failed)
         return held.ticket
@@ -98,7 +98,7 @@
         raise TypeError(event)
 
     @_take.register
-    def _read_prompt(self, event: PromptRead, now_s: float) -> None:
+    def _read_prompt(self, event: PrefillCompleted, now_s: float) -> None:
         held = self._running.get(event.ticket_id)
         if held is None:
             return
@@ -117,7 +117,7 @@
             server.expect_reading(event.unread, event, now_s)
 
     @_take.register
-    def _take_peers(self, event: PeerLoadsTold, now_s: float) -> None:
+    def _take_peers(self, event: PeerLoadsReported, now_s: float) -> None:
         self._table.take_peer_loads(event.loads)
 
     @_take.register
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -207,7 +207,7 @@
             tier=promise.tier,
             opened_s=self._arrived_s,
             target_s=promise.first_token_ms / MS_PER_S,
-            patience_s=promise.max_wait_ms / MS_PER_S,
+            max_wait_s=promise.max_wait_ms / MS_PER_S,
             share=promise.share,
             prefix=self._call.prefix,
             pausable=self._is_pausable,
--- a/src/siskinpass/request/inbound.py
+++ b/src/siskinpass/request/inbound.py
@@ -84,7 +84,7 @@
     """Hold a caller's request, decoded.
 
     :param call_id: the caller's id of this attempt, empty where it has none.
-    :param patience_s: how long the caller waits from the request's arrival,
+    :param caller_timeout_s: how long the caller waits, from arrival on,
         0 where it does not say.
     :param key: API key, empty where there is none.
     :param resume_after: last event that the caller has, empty for none.
@@ -95,7 +95,7 @@
     request: WireRequest
     host: str
     call_id: str = ''
-    patience_s: float = 0.0
+    caller_timeout_s: float = 0.0
     key: str = ''
     resume_after: str = ''
     prompt: Prompt = field(default_factory=Prompt)
--- a/src/siskinpass/request/ticket.py
+++ b/src/siskinpass/request/ticket.py
@@ -33,7 +33,7 @@
     :param tier: priority, 0 is the most urgent.
     :param opened_s: when the request arrived.
     :param target_s: latency target from arrival to first token.
-    :param patience_s: longest wait before the request is refused.
+    :param max_wait_s: longest wait before the request is refused.
     :param share: fraction of freed slots guaranteed to the tier.
     :param prefix: hash of the prompt's first part, 0 where unknown.
     :param pausable: whether the stream may be cancelled and resumed.
@@ -52,7 +52,7 @@
     tier: int
     opened_s: float
     target_s: float
-    patience_s: float
+    max_wait_s: float
     share: float = 0.0
     prefix: int = 0
     pausable: bool = True
@@ -69,9 +69,9 @@
         return self.opened_s + self.target_s
 
     @property
-    def gives_up_s(self) -> float:
+    def expires_s(self) -> float:
         """Return when the request is refused if it still waits."""
-        return self.opened_s + self.patience_s
+        return self.opened_s + self.max_wait_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,12 +116,12 @@
 
     :param ticket_id: ticket that held the slot.
     :param failed: whether the backend server failed the request.
-    :param erred: whether it answered, but with an error of its own.
+    :param server_error: whether it answered, but with an error of its own.
     """
 
     ticket_id: str
     failed: bool = False
-    erred: bool = False
+    server_error: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,7 +149,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromptRead:
+class PrefillCompleted:
     """The first token of a granted ticket came; its prompt was read."""
 
     ticket_id: str
@@ -186,13 +186,13 @@
             tuple(-tokens for tokens in self.unread),
         )
 
-    def unread_to(self, tier: int) -> int:
+    def unread_at_or_above(self, tier: int) -> int:
         """Return the unread tokens of a tier and those above it."""
         return sum(self.unread[: tier + 1])
 
 
 @dataclass(frozen=True, slots=True)
-class PeerLoadsTold:
+class PeerLoadsReported:
     """The other instances told their loads; servers left out have none."""
 
     loads: Mapping[str, ServerLoad]
@@ -235,7 +235,11 @@
 
 # Events that change only what the servers are known to carry.
 LoadEvent = (
-    TokensObserved | PromptRead | PeerLoadsTold | PromptPlaced | ServersListed
+    TokensObserved
+    | PrefillCompleted
+    | PeerLoadsReported
+    | PromptPlaced
+    | ServersListed
 )
 Event = (
     TicketOpened
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -13,10 +13,10 @@
     ClockTicked,
     Granted,
     GrantReleased,
-    PeerLoadsTold,
+    PeerLoadsReported,
+    PrefillCompleted,
     PromptPiece,
     PromptPlaced,
-    PromptRead,
     ServerLoad,
     ServersListed,
     ServerView,
@@ -52,7 +52,7 @@
     fields = {
         'tier': 2,
         'target_s': 2.5,
-        'patience_s': 6.0,
+        'max_wait_s': 6.0,
         'pausable': False,
         'pieces': pieces,
         'tokens_in': shared_tokens + own,
@@ -117,7 +117,7 @@
         made = broker()
         busy = ServerLoad(40, 0, (0, 0, 40_000))
         loads = {f'e-{n}': busy for n in range(5) if n != 2}
-        made.apply(PeerLoadsTold(loads), 0.0)
+        made.apply(PeerLoadsReported(loads), 0.0)
         placed = grants(made.apply(TicketOpened(prompt(1, 1)), 0.0))
         assert placed == {'t-1': 'e-2'}
 
@@ -139,8 +139,11 @@
             )
             server = grants(made.apply(TicketOpened(ticket), number))
             placed.extend(server.values())
-            erred = server[ticket.ticket_id] == 's-0'
-            made.apply(GrantReleased(ticket.ticket_id, erred=erred), number)
+            server_error = server[ticket.ticket_id] == 's-0'
+            made.apply(
+                GrantReleased(ticket.ticket_id, server_error=server_error),
+                number,
+            )
         assert placed.count('s-0') < 10
 
     def test_server_that_failed_is_tried_again(self):
@@ -149,7 +152,7 @@
         for number in range(10):
             made.apply(TicketOpened(prompt(number, number)), 0.0)
         for number in range(10):
-            ended = GrantReleased(f't-{number}', erred=number % 2 == 0)
+            ended = GrantReleased(f't-{number}', server_error=number % 2 == 0)
             made.apply(ended, 0.1)
         troubled = [one for one in made.table.servers if one.trouble > 0]
         assert troubled
@@ -192,7 +195,7 @@
             )
             placed = grants(made.apply(TicketOpened(ticket), now_s))
             (tight_at if is_tight else long_at).update(placed.values())
-            made.apply(PromptRead(ticket.ticket_id), now_s)
+            made.apply(PrefillCompleted(ticket.ticket_id), now_s)
             made.apply(GrantReleased(ticket.ticket_id), now_s + 0.05)
         assert len(long_at) >= 3
         assert not long_at & tight_at
@@ -232,7 +235,7 @@
             placed.update(granted.values())
             unread |= dict.fromkeys(granted, now_s)
             for read in [one for one in unread if unread[one] < now_s - 0.2]:
-                made.apply(PromptRead(read), now_s)
+                made.apply(PrefillCompleted(read), now_s)
                 unread.pop(read)
         assert len(placed) == 2
         assert min(placed.values()) > 0.4 * placed.total()
@@ -254,7 +257,7 @@
         made = broker()
         drafts = ServerLoad(1, 0, (0, 0, 20_000))
         loads = {view.name: drafts for view in SERVERS if view.name != 'e-3'}
-        made.apply(PeerLoadsTold(loads), 0.0)
+        made.apply(PeerLoadsReported(loads), 0.0)
         placed = [
             grants(made.apply(TicketOpened(prompt(n, n, tier=1)), 0.0))
             for n in range(3)
@@ -279,7 +282,7 @@
         policy = AffinityPolicy()
         stuck = ServerLoad(40, 40, (policy.unread_most + 1,))
         loads = {view.name: stuck for view in SERVERS[:2]}
-        made.apply(PeerLoadsTold(loads), 0.0)
+        made.apply(PeerLoadsReported(loads), 0.0)
         ticket = tight(1, opened_s=0.0)
         assert not grants(made.apply(TicketOpened(ticket), 0.0))
         assert not grants(made.apply(ClockTicked(), 1.0))
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -215,7 +215,7 @@
             now_s += 0.25
         for number in range(60):
             made.apply(TicketOpened(ticket(f'w{number}', 0, now_s)), now_s)
-        hasty = ticket('hasty', 0, now_s, patience_s=1.0)
+        hasty = ticket('hasty', 0, now_s, max_wait_s=1.0)
         refusal = made.apply(TicketOpened(hasty), now_s)[0]
         assert refusal.code is Code.wait_too_long
         assert refusal.retry_after_ms > 200
@@ -223,7 +223,7 @@
     def test_expired_ticket_is_refused_on_the_clock(self):
         """A request given up on is answered at once."""
         made = broker(servers=0)
-        made.apply(TicketOpened(ticket('c', patience_s=2.0)), 0.0)
+        made.apply(TicketOpened(ticket('c', max_wait_s=2.0)), 0.0)
         assert not made.apply(ClockTicked(), 1.9)
         refusal = made.apply(ClockTicked(), 2.0)[0]
         assert (refusal.ticket_id, refusal.code) == ('c', Code.wait_too_long)
@@ -231,7 +231,7 @@
     def test_resumed_stream_is_never_refused(self):
         """A stream that has begun is brought to its end."""
         made = broker(servers=0, queue_most=0)
-        begun = ticket('c', patience_s=0.1, resumed=True)
+        begun = ticket('c', max_wait_s=0.1, resumed=True)
         assert not made.apply(TicketOpened(begun), 5.0)
         assert not made.apply(ClockTicked(), 60.0)
 
@@ -387,7 +387,7 @@
             share=share,
             pausable=pausable,
             resumed=resumed,
-            patience_s=patience,
+            max_wait_s=patience,
         )
         self.waiting[made.ticket_id] = made
         self.apply(TicketOpened(made))
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -44,7 +44,7 @@
                 (b'Authorization', b'Bearer key'),
             ),
         )
-        assert (call.call_id, call.patience_s, call.key) == (
+        assert (call.call_id, call.caller_timeout_s, call.key) == (
             'id-1',
             1.5,
             'key',
@@ -64,7 +64,7 @@
     def test_unreadable_headers_count_as_missing(self, name, text):
         """No header of a caller can fail its decoding."""
         call = decode_call(request((name, text)))
-        assert (call.patience_s, call.prompt.tokens_in) == (0.0, 0)
+        assert (call.caller_timeout_s, call.prompt.tokens_in) == (0.0, 0)
 
     @pytest.mark.parametrize('name', FORGED)
     def test_forged_system_headers_are_dropped(self, name):
