--- a/bench/bound.py
+++ b/bench/bound.py
@@ -36,13 +36,13 @@
         ahead = sorted((*ahead, *by_tier[tier]), key=lambda job: job.at_s)
         free = [0.0] * slots
         for job in ahead:
-            promise = known[job.leaf]
+            class_settings = known[job.leaf]
             start_s = max(job.at_s, free[0])
             first_ms = (start_s - job.at_s) * 1000 + STEP_MS
-            timely = first_ms <= promise.first_token_ms
+            timely = first_ms <= class_settings.first_token_ms
             if timely:
                 end_s = start_s + job.tokens * token_s
                 heapq.heapreplace(free, end_s)
-            if promise.tier == tier:
+            if class_settings.tier == tier:
                 met[job.leaf].append(timely)
     return {leaf: sum(oks) / len(oks) for leaf, oks in met.items()}
--- a/bench/broken.py
+++ b/bench/broken.py
@@ -15,18 +15,18 @@
 from siskinpass.process.relay import Relay
 from siskinpass.process.run import RequestRun
 from siskinpass.request.claim import Claim, ClaimState
-from siskinpass.request.stream import TokenTap
-from siskinpass.version.book import VersionBook
+from siskinpass.request.stream import TokenStreamParser
+from siskinpass.version.tree_version import CurrentVersion
 
 
 def break_crossed() -> None:
     """Pass on events whatever request they are for."""
-    start = TokenTap.__init__
+    start = TokenStreamParser.__init__
 
     def forget_marker(self, marker: bytes) -> None:
         start(self, b'"id":"')
 
-    TokenTap.__init__ = forget_marker
+    TokenStreamParser.__init__ = forget_marker
 
 
 def break_once() -> None:
@@ -60,16 +60,16 @@
 def break_versions() -> None:
     """Put any version in force, a lower one too."""
 
-    def offer(self, version) -> bool:
+    def adopt_if_newer(self, version) -> bool:
         self._current = version
         return True
 
-    VersionBook.offer = offer
+    CurrentVersion.adopt_if_newer = adopt_if_newer
 
 
 def break_resume() -> None:
     """Resume every stream from its start."""
-    TokenTap.tokens = property(
+    TokenStreamParser.tokens = property(
         lambda self: 0,
         lambda self, count: None,
     )
--- a/bench/summary.py
+++ b/bench/summary.py
@@ -9,22 +9,22 @@
 
 from bench.load import Answer
 from siskinpass.version.document import parse_tree
-from siskinpass.version.schema import Promise
+from siskinpass.version.schema import ClassSettings
 
 ROW = '{:<12}{:>5}{:>7}{:>7}{:>8}{:>10}{:>10}{:>10}  {}\n'
 
 
-def promises(tree: Path) -> dict[str, Promise]:
+def promises(tree: Path) -> dict[str, ClassSettings]:
     """Return the promise of each class name of a tree."""
     parsed = parse_tree(tree.read_text())
     found = {}
     for name, branch in parsed.workspaces.items():
         for leaf in branch.classes:
-            found[leaf] = parsed.promise(name, leaf)
+            found[leaf] = parsed.class_settings(name, leaf)
     return found
 
 
-def met(answer: Answer, promise: Promise) -> bool:
+def met(answer: Answer, class_settings: ClassSettings) -> bool:
     """Tell whether an answer met the targets of its class."""
     if not answer.whole:
         return False
@@ -33,7 +33,10 @@
         gap_ms = (answer.end_s - answer.first_s) * 1000 / (answer.tokens - 1)
     else:
         gap_ms = 0.0
-    return first_ms <= promise.first_token_ms and gap_ms <= promise.token_ms
+    return (
+        first_ms <= class_settings.first_token_ms
+        and gap_ms <= class_settings.token_ms
+    )
 
 
 def summarise(answers: Sequence[Answer], tree: Path) -> list[dict[str, Any]]:
@@ -50,7 +53,7 @@
 def _row(
     leaf: str,
     own: Sequence[Answer],
-    promise: Promise,
+    class_settings: ClassSettings,
 ) -> dict[str, Any]:
     firsts = sorted(
         (answer.first_s - answer.sent_s) * 1000
@@ -62,11 +65,12 @@
     whole = [answer for answer in own if answer.whole]
     return {
         'class': leaf,
-        'tier': promise.tier,
+        'tier': class_settings.tier,
         'sent': len(own),
         'whole': len(whole),
-        'met': sum(met(answer, promise) for answer in own),
-        'attainment': sum(met(answer, promise) for answer in own) / len(own),
+        'met': sum(met(answer, class_settings) for answer in own),
+        'attainment': sum(met(answer, class_settings) for answer in own)
+        / len(own),
         'tokens': sum(answer.tokens for answer in whole),
         'first_ms_p50': quantile(firsts, 0.5),
         'first_ms_p95': quantile(firsts, 0.95),
--- a/src/siskinpass/__init__.py
+++ b/src/siskinpass/__init__.py
@@ -11,9 +11,9 @@
 from siskinpass.process.lease import LeaseLogic, LeaseRecord
 from siskinpass.process.limits import LimitPolicy, SlotLimit
 from siskinpass.process.membership import Member, Membership, MembershipPolicy
-from siskinpass.request.claim import Claim, ClaimState, judge
+from siskinpass.request.claim import Claim, ClaimState, decide_claim
 from siskinpass.request.retry import RetryBudget
-from siskinpass.request.stream import TokenTap
+from siskinpass.request.stream import TokenStreamParser
 from siskinpass.request.ticket import ServerView, Ticket
 from siskinpass.version.document import parse_tree
 from siskinpass.version.schema import Tree
@@ -39,8 +39,8 @@
     'SiskinpassError',
     'SlotLimit',
     'Ticket',
-    'TokenTap',
+    'TokenStreamParser',
     'Tree',
-    'judge',
+    'decide_claim',
     'parse_tree',
 ]
--- a/src/siskinpass/connection/dialect.py
+++ b/src/siskinpass/connection/dialect.py
@@ -38,7 +38,7 @@
         'priority': terms.priority,
         'resume_from': terms.resume_from,
     }
-    fields.setdefault('max_tokens', call.promise.max_tokens)
+    fields.setdefault('max_tokens', call.class_settings.max_tokens)
     return _post(call.path, host, orjson.dumps(fields), request_id)
 
 
--- a/src/siskinpass/connection/http_caller.py
+++ b/src/siskinpass/connection/http_caller.py
@@ -95,7 +95,7 @@
                 bytes(self._target),
                 tuple(self._headers),
                 bytes(self.body),
-                keeps_open=self._parser.should_keep_alive(),
+                keep_alive=self._parser.should_keep_alive(),
             ),
         )
         self.body = bytearray()
@@ -240,7 +240,7 @@
             self.is_busy = True
             request = self._collector.whole.popleft()
             self._method = request.method
-            self._keeps = request.keeps_open
+            self._keeps = request.keep_alive
             self.arrived_s = asyncio.get_running_loop().time()
             self._serve(self, request)
         elif self._fault is not None:
--- a/src/siskinpass/platform/config.py
+++ b/src/siskinpass/platform/config.py
@@ -16,7 +16,7 @@
 from siskinpass.version.routes import (
     CallerLimits,
     Engine,
-    Repeat,
+    RepeatPolicy,
     Route,
     RouteTable,
     Service,
@@ -27,9 +27,9 @@
 CONFIG_KIND = 'config'
 CONFIG_NAME = 'main'
 REPEATS = MappingProxyType({
-    'safe': Repeat.idempotent,
-    'unsafe': Repeat.once,
-    'stream': Repeat.stream,
+    'safe': RepeatPolicy.idempotent,
+    'unsafe': RepeatPolicy.once,
+    'stream': RepeatPolicy.stream,
 })
 DEFAULT_CONNECTIONS = 100
 # Used where a configuration states none.
@@ -74,8 +74,8 @@
         target_s=read_seconds(row, 'target-latency-ms', 0),
         pause_s=read_seconds(row, 'target-gap-ms', 0),
         tier=read_field(row, 'priority', int, 0),
-        attempts_most=read_field(row, 'max-attempts', int, 1),
-        is_open=read_field(row, 'auth-exempt', bool, default=False),
+        max_attempts=read_field(row, 'max-attempts', int, 1),
+        is_public=read_field(row, 'auth-exempt', bool, default=False),
         # Set for requests with a prompt, whatever the name says.
         has_prompt=read_field(row, 'sticky', bool, default=False),
         is_resumable=read_field(row, 'stream-resume', bool, default=False),
@@ -107,7 +107,7 @@
     engine = row.get('engine')
     return Service(
         name=read_field(row, 'name', str),
-        connections_most=read_field(
+        max_connections=read_field(
             row,
             'max-connections',
             int,
@@ -120,9 +120,11 @@
 def _engine(row: Mapping[str, Any]) -> Engine:
     return Engine(
         slots=read_field(row, 'slots', int, 1),
-        memory_tokens=int(read_field(row, 'kv-capacity-tokens', NUMBER, 0)),
-        token_bytes=int(read_field(row, 'kv-token-bytes', NUMBER, 0)),
-        takes_backups=read_field(row, 'backups', bool, default=False),
+        kv_capacity_tokens=int(
+            read_field(row, 'kv-capacity-tokens', NUMBER, 0)
+        ),
+        kv_bytes_per_token=int(read_field(row, 'kv-token-bytes', NUMBER, 0)),
+        supports_kv_backup=read_field(row, 'backups', bool, default=False),
     )
 
 
--- a/src/siskinpass/platform/headers.py
+++ b/src/siskinpass/platform/headers.py
@@ -3,11 +3,11 @@
 from siskinpass.platform.fields import MS_PER_S
 from siskinpass.request.inbound import (
     AnswerHead,
-    Call,
     Header,
+    InboundRequest,
     Prompt,
     PromptPart,
-    SendOrder,
+    SendContext,
     WireRequest,
 )
 
@@ -51,31 +51,31 @@
 ))
 
 
-def decode_call(request: WireRequest) -> Call:
+def decode_call(request: WireRequest) -> InboundRequest:
     """Return a request with its headers decoded.
 
     A header that cannot be read counts as missing.
     """
     found = {name.lower(): text for name, text in request.headers}
     dropped = HOP_HEADERS | SYSTEM_HEADERS | _named_by_connection(found)
-    return Call(
+    return InboundRequest(
         request=request,
         host=_text(found, b'host'),
         call_id=_text(found, CALL_ID),
         caller_timeout_s=_number(_text(found, DEADLINE)) / MS_PER_S,
         key=_bearer(_text(found, AUTHORIZATION)),
-        resume_after=_text(found, RESUME),
+        last_event_id=_text(found, RESUME),
         prompt=_prompt(found),
         headers=_without(dropped, request.headers),
     )
 
 
-def encode_send(call: Call, order: SendOrder) -> bytes:
+def encode_send(call: InboundRequest, context: SendContext) -> bytes:
     """Return the request as a backend server gets it."""
     request = call.request
     lines = [b'%b %b HTTP/1.1' % (request.method, request.target)]
     lines.extend(b'%b: %b' % header for header in call.headers)
-    lines.extend(_order_lines(order))
+    lines.extend(_context_lines(context))
     if request.body or request.method not in {b'GET', b'HEAD', b'DELETE'}:
         lines.append(b'Content-Length: %d' % len(request.body))
     return b'\r\n'.join((*lines, b'', request.body))
@@ -97,14 +97,14 @@
     )
 
 
-def _order_lines(order: SendOrder) -> list[bytes]:
-    left_ms = max(1, int(order.left_s * MS_PER_S))
+def _context_lines(context: SendContext) -> list[bytes]:
+    left_ms = max(1, int(context.remaining_s * MS_PER_S))
     fields = (
         ('X-Deadline-Ms', str(left_ms)),
-        ('X-Expect-Instance', order.server),
-        ('X-Tenant', order.workspace),
-        ('X-Request-Urgency', str(order.urgency)),
-        ('Last-Event-Id', order.resume_after),
+        ('X-Expect-Instance', context.server),
+        ('X-Tenant', context.workspace),
+        ('X-Request-Urgency', str(context.urgency)),
+        ('Last-Event-Id', context.last_event_id),
     )
     return [
         f'{name}: {text}'.encode('latin-1') for name, text in fields if text
@@ -132,7 +132,7 @@
     return Prompt(
         parts=tuple(_part(entry) for entry in entries if entry),
         tokens_in=int(_number(counts[0])),
-        tokens_out_most=int(_number(counts[-1])) if len(counts) > 1 else 0,
+        max_tokens_out=int(_number(counts[-1])) if len(counts) > 1 else 0,
         tokens_out_hint=int(_number(_text(found, b'x-length-hint'))),
     )
 
--- a/src/siskinpass/process/attempt.py
+++ b/src/siskinpass/process/attempt.py
@@ -11,7 +11,7 @@
 )
 from siskinpass.exceptions import BackendError, SiskinpassError
 from siskinpass.request.inbound import Header
-from siskinpass.request.stream import TokenTap
+from siskinpass.request.stream import TokenStreamParser
 
 STATUS_UNAVAILABLE = 503
 
@@ -23,7 +23,7 @@
 class Attempt(AnswerSink):
     """Take in one answer and pass it on.
 
-    :param tap: follows a stream of tokens, none for a whole answer.
+    :param parser: follows a stream of tokens, none for a whole answer.
     :param forward: takes each piece that may be passed on.
     """
 
@@ -31,7 +31,7 @@
         self,
         pool: str,
         server: str,
-        tap: TokenTap | None,
+        parser: TokenStreamParser | None,
         forward: Callable[[bytes], None],
     ) -> None:
         """Start before anything was sent."""
@@ -41,7 +41,7 @@
         self.finished: asyncio.Future[None] = self._loop.create_future()
         self.pool = pool
         self.server = server
-        self.tap = tap
+        self.parser = parser
         self.status = 0
         self.headers: dict[str, str] = {}
         self.sent_s = self._loop.time()
@@ -66,7 +66,7 @@
             name.decode('latin-1').lower(): text.decode('latin-1')
             for name, text in headers
         }
-        if self.tap is not None and status != STATUS_OK:
+        if self.parser is not None and status != STATUS_OK:
             code = Code.backend_error
             if status == STATUS_UNAVAILABLE:
                 code = Code.retry_backend_leaving
@@ -77,12 +77,12 @@
         """Pass on what may be passed on."""
         if self.finished.done():
             return
-        if self.tap is None:
+        if self.parser is None:
             self._forward(piece)
             return
         now_s = self._loop.time()
         try:
-            whole = self.tap.feed(piece, now_s)
+            whole = self.parser.feed(piece, now_s)
         except BackendError as error:
             self.break_off(error)
             return
@@ -95,7 +95,7 @@
         self._connection = None
         if self.finished.done():
             return
-        if self.tap is not None and not self.tap.done:
+        if self.parser is not None and not self.parser.done:
             self.finished.set_exception(BackendError(Code.stream_cut))
         else:
             self.finished.set_result(None)
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -16,7 +16,6 @@
 from siskinpass.process.placement import Chooser, ServerTable
 from siskinpass.process.preemption import choose_moves, choose_pauses
 from siskinpass.process.throughput import GrantRate
-from siskinpass.request.order import WaitingTickets
 from siskinpass.request.ticket import (
     ClockTicked,
     Command,
@@ -33,6 +32,7 @@
     TicketOpened,
     TicketWithdrawn,
 )
+from siskinpass.request.ticket_queue import WaitingTickets
 
 MS_PER_S = 1000
 LEAST_RETRY_MS = 200
@@ -190,7 +190,7 @@
         if wait_s > ticket.max_wait_s:
             self._reply_refused(ticket, Code.wait_too_long, wait_s)
             return False
-        if self._waiting.fresh < self._policy.queue_most:
+        if self._waiting.unstarted < self._policy.queue_most:
             return True
         lowest = self._waiting.lowest()
         if lowest is None or lowest.tier <= ticket.tier:
@@ -200,7 +200,7 @@
         return True
 
     def _expected_wait_s(self, ticket: Ticket) -> float:
-        ahead = self._waiting.count_above(ticket.tier)
+        ahead = self._waiting.count_at_or_above(ticket.tier)
         return self._rate.wait_s(ticket.tier, ahead, self._now_s)
 
     def _refuse(self, ticket: Ticket, code: Code) -> None:
@@ -220,7 +220,7 @@
         )
 
     def _dispatch(self) -> None:
-        self._waiting.move_late(self._now_s + self._table.first_s)
+        self._waiting.demote_late(self._now_s + self._table.first_s)
         owed = True
         while owed:
             owed = self._grant_owed()
@@ -228,7 +228,7 @@
             self._dispatch_tier(tier)
 
     def _grant_owed(self) -> bool:
-        tier = self._waiting.owed_tier()
+        tier = self._waiting.tier_with_credit()
         if tier is None:
             return False
         ticket = self._waiting.first(tier)
@@ -236,7 +236,7 @@
 
     def _dispatch_tier(self, tier: int) -> None:
         budget = self._free_for(tier)
-        for ticket in self._waiting.first_of(tier, LOOKED_AT):
+        for ticket in self._waiting.next_tickets(tier, LOOKED_AT):
             if budget <= 0:
                 break
             budget -= self._grant(ticket, owed=False)
@@ -277,7 +277,7 @@
 
     def _make_room(self, tier: int) -> None:
         """Pause one lower stream for each ticket that waits in the tier."""
-        waiting = self._waiting.count_above(tier)
+        waiting = self._waiting.count_at_or_above(tier)
         for held in choose_pauses(self._grants.running, tier, waiting):
             held.ending = True
             self._commands.append(
--- a/src/siskinpass/process/claims.py
+++ b/src/siskinpass/process/claims.py
@@ -22,11 +22,11 @@
 from siskinpass.process.store import Store
 from siskinpass.request.call import Call
 from siskinpass.request.claim import (
-    STORED_BODY_BYTES_MOST,
+    MAX_STORED_BODY_BYTES,
     Claim,
+    ClaimAction,
     ClaimState,
-    Verdict,
-    judge,
+    decide_claim,
 )
 
 OPEN_S = 60.0
@@ -115,7 +115,7 @@
         body: bytes = b'',
     ) -> None:
         """Write how a claimed request ended; a failed write is repeated."""
-        if len(body) > STORED_BODY_BYTES_MOST:
+        if len(body) > MAX_STORED_BODY_BYTES:
             status, body = 0, b''
         settled = replace(
             held.claim,
@@ -170,12 +170,12 @@
             raise StoreUnconfirmedError(Code.edit_unconfirmed, 'claim is gone')
         found = Claim.load(stored.body)
         age_s = self._wall_clock() - found.written_s
-        judgement = judge(found, claim.nonce, claim.digest, age_s, OPEN_S)
-        if judgement.verdict is Verdict.replay:
+        decision = decide_claim(found, claim.nonce, claim.digest, age_s, OPEN_S)
+        if decision.action is ClaimAction.replay:
             return Replay(found.status, found.body.encode())
-        if judgement.verdict is Verdict.refuse:
-            raise RequestError(judgement.code, '', RETRY_MS)
-        if judgement.verdict is Verdict.run:
+        if decision.action is ClaimAction.refuse:
+            raise RequestError(decision.code, '', RETRY_MS)
+        if decision.action is ClaimAction.run:
             return HeldClaim(key, claim, stored.version)
         try:
             version = await self._store.replace(
--- a/src/siskinpass/process/engines.py
+++ b/src/siskinpass/process/engines.py
@@ -14,7 +14,7 @@
 from siskinpass.process.logs import PartLog
 from siskinpass.process.orders import EngineReport, Order, OrderPlan
 from siskinpass.request.ticket import ServerView
-from siskinpass.version.book import VersionBook
+from siskinpass.version.tree_version import CurrentVersion
 
 EVERY_S = 2.0
 TIMEOUT_S = 1.0
@@ -30,7 +30,7 @@
     def __init__(
         self,
         lease: LeaseKeeper,
-        book: VersionBook,
+        book: CurrentVersion,
         servers: Callable[[], Iterable[ServerView]],
     ) -> None:
         """Start without open orders.
--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -8,10 +8,10 @@
 from siskinpass.connection.backend import AnswerSink, BackendConnection
 from siskinpass.exceptions import BackendError
 from siskinpass.platform.headers import decode_answer
-from siskinpass.request.events import EventTap
+from siskinpass.request.events import EventStreamParser
 from siskinpass.request.inbound import AnswerHead, Header
-from siskinpass.request.resend import Ending
-from siskinpass.request.silence import SilenceLimits
+from siskinpass.request.resend import AttemptOutcome
+from siskinpass.request.timeouts import AttemptTimeouts
 
 # The server closes an idle connection after the time that it states; it is
 # not used in the last part of that.
@@ -39,7 +39,7 @@
     :param cause: what went wrong, for the log.
     """
 
-    ending: Ending | None
+    ending: AttemptOutcome | None
     head: AnswerHead | None = None
     body: bytes = b''
     cause: str = ''
@@ -54,7 +54,7 @@
     """Check an answer and pass on the events of a stream.
 
     :param call_id: id that the answer must bear.
-    :param tap: follows the events over all attempts; none for an answer that
+    :param parser: follows the events over all attempts; none for an answer that
         is handed out whole.
     :param writer: passes on events.
     """
@@ -62,12 +62,12 @@
     def __init__(
         self,
         call_id: str,
-        tap: EventTap | None,
+        parser: EventStreamParser | None,
         writer: EventWriter,
     ) -> None:
         """Start before anything was sent."""
         self._call_id = call_id
-        self._tap = tap
+        self._parser = parser
         self._writer = writer
         self._head: AnswerHead | None = None
         self._body = bytearray()
@@ -82,7 +82,7 @@
     @property
     def has_begun(self) -> bool:
         """Return whether an event of this request was passed on."""
-        return self._tap is not None and self._tap.count > 0
+        return self._parser is not None and self._parser.count > 0
 
     def start(self, connection: BackendConnection, request: bytes) -> None:
         """Send the request."""
@@ -96,7 +96,7 @@
         if connection is not None:
             connection.cancel()
 
-    async def wait(self, limits: SilenceLimits | None) -> Ended:
+    async def wait(self, limits: AttemptTimeouts | None) -> Ended:
         """Wait for the end of the attempt.
 
         :param limits: bounds of the server's silence, none for no bound.
@@ -124,7 +124,7 @@
         if self._connection is not None and head.idle_s:
             idle_s = head.idle_s - IDLE_MARGIN_S
             self._connection.idle_s = max(IDLE_LEAST_S, idle_s)
-        if self._tap is not None and head.is_success and not self._fault:
+        if self._parser is not None and head.is_success and not self._fault:
             self._streams = True
         return True
 
@@ -138,7 +138,7 @@
             self._body += piece
             return
         try:
-            events = self._tap.feed(piece, self._loop.time())
+            events = self._parser.feed(piece, self._loop.time())
         except BackendError as error:
             self._break_off(str(error))
             return
@@ -160,12 +160,12 @@
         """End an attempt that broke off."""
         self._connection = None
         if self._head is not None and self._head.not_run:
-            self._end(Ended(Ending.declined, self._head))
+            self._end(Ended(AttemptOutcome.declined, self._head))
         else:
             self._end(self._broken(str(error) or 'closed'))
 
     def _end_stream(self) -> None:
-        if self._tap.is_whole and self._tap.count:
+        if self._parser.is_whole and self._parser.count:
             self._writer.begin(self._head)
             self._end(Ended(None, self._head))
         else:
@@ -174,20 +174,20 @@
     def _end_body(self) -> None:
         body = bytes(self._body)
         if self._head.not_run:
-            self._end(Ended(Ending.declined, self._head, body))
+            self._end(Ended(AttemptOutcome.declined, self._head, body))
         elif self._head.is_success:
             self._end(Ended(None, self._head, body))
         else:
-            self._end(Ended(Ending.failed, self._head, body))
+            self._end(Ended(AttemptOutcome.failed, self._head, body))
 
     def _break_off(self, cause: str) -> None:
         self.cancel()
         self._end(self._broken(cause))
 
     def _broken(self, cause: str) -> Ended:
-        if self._tap is not None:
-            self._tap.drop_partial()
-        ending = Ending.cut if self.has_begun else Ending.lost
+        if self._parser is not None:
+            self._parser.drop_partial()
+        ending = AttemptOutcome.cut if self.has_begun else AttemptOutcome.lost
         return Ended(ending, self._head, cause=cause)
 
     def _end(self, ended: Ended) -> None:
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -23,15 +23,21 @@
     REQUEST_REFUSED,
     STREAM_CUT,
 )
-from siskinpass.request.events import EventTap
+from siskinpass.request.events import EventStreamParser
 from siskinpass.request.inbound import (
     AnswerHead,
-    SendOrder,
+    SendContext,
     WireRequest,
 )
-from siskinpass.request.resend import Ending, Sends, Step, decide, give_up
-from siskinpass.request.silence import silence_limits
+from siskinpass.request.resend import (
+    AttemptOutcome,
+    NextStep,
+    SendCounts,
+    decide_next_step,
+    final_step,
+)
 from siskinpass.request.ticket import ServerView, Ticket
+from siskinpass.request.timeouts import attempt_timeouts
 from siskinpass.version.routes import (
     Route,
     RouteTable,
@@ -105,8 +111,8 @@
         self._call = decode_call(request)
         self._number = number
         self._started_s = caller.arrived_s
-        self._sends = Sends()
-        self._tap: EventTap | None = None
+        self._sends = SendCounts()
+        self._parser: EventStreamParser | None = None
         self._in_flight = False
         self._has_begun = False
         self._avoid = ''
@@ -153,10 +159,10 @@
             self._refuse(Code.unknown_path)
             return
         workspace = table.workspace_of(self._call.key)
-        if workspace is None and table.needs_keys and not route.is_open:
+        if workspace is None and table.needs_keys and not route.is_public:
             self._refuse(Code.unknown_key)
             return
-        if not table.needs_keys or route.is_open:
+        if not table.needs_keys or route.is_public:
             workspace = None
         await self._serve(route, workspace, table)
 
@@ -168,11 +174,11 @@
     ) -> None:
         caller_timeout_s = self._call.caller_timeout_s or DEFAULT_PATIENCE_S
         ends_s = self._started_s + min(caller_timeout_s, route.timeout_s)
-        service = route.service_at(random.random())
+        service = route.pick_service(random.random())
         self._tools.note_request(service)
         self._node = route.name
         if route.is_stream:
-            self._tap = EventTap(self._started_s)
+            self._parser = EventStreamParser(self._started_s)
         plan = _Plan(route, workspace, service, ends_s, table)
         try:
             async with asyncio.timeout_at(ends_s):
@@ -188,7 +194,7 @@
                 return
             step = self._next_step(plan, ended)
             self._log_step(plan, ended, step)
-            if step not in {Step.resend, Step.resume}:
+            if step not in {NextStep.resend, NextStep.resume}:
                 self._finish(step, ended)
                 return
             self._tools.metrics.retried(_RETRY_CODES[ended.ending])
@@ -215,8 +221,10 @@
         ending = ended.ending if ended else None
         self._tools.assigner.release(
             ticket,
-            failed=ending in {Ending.unsent, Ending.lost, Ending.cut},
-            server_error=ending in {Ending.failed, Ending.declined},
+            failed=ending
+            in {AttemptOutcome.unsent, AttemptOutcome.lost, AttemptOutcome.cut},
+            server_error=ending
+            in {AttemptOutcome.failed, AttemptOutcome.declined},
         )
 
     async def _send(
@@ -231,22 +239,22 @@
                 fresh=False,
             )
         except ConnectError as error:
-            return Ended(Ending.unsent, cause=str(error))
-        taker = AnswerTaker(self._call.call_id, self._tap, self)
-        order = SendOrder(
+            return Ended(AttemptOutcome.unsent, cause=str(error))
+        taker = AnswerTaker(self._call.call_id, self._parser, self)
+        context = SendContext(
             server=view.name,
-            left_s=plan.ends_s - _now_s(),
+            remaining_s=plan.ends_s - _now_s(),
             workspace=plan.workspace.name if plan.workspace else '',
             urgency=urgency_of(ticket.tier),
-            resume_after=self._resume_after(plan.route),
+            last_event_id=self._last_event_id(plan.route),
         )
-        if order.left_s < LEFT_LEAST_S:
+        if context.remaining_s < LEFT_LEAST_S:
             connection.cancel()
-            return Ended(Ending.unsent, cause='no time left')
+            return Ended(AttemptOutcome.unsent, cause='no time left')
         with self._following(taker):
-            taker.start(connection, encode_send(self._call, order))
+            taker.start(connection, encode_send(self._call, context))
             return await taker.wait(
-                silence_limits(plan.route, self._sends),
+                attempt_timeouts(plan.route, self._sends),
             )
 
     @contextmanager
@@ -261,23 +269,23 @@
             self._caller.on_flow = None
         self._in_flight = False
 
-    def _next_step(self, plan: '_Plan', ended: Ended) -> Step:
-        if ended.ending in {Ending.unsent, Ending.declined}:
-            self._sends = Sends(self._sends.run, self._sends.not_run + 1)
+    def _next_step(self, plan: '_Plan', ended: Ended) -> NextStep:
+        if ended.ending in {AttemptOutcome.unsent, AttemptOutcome.declined}:
+            self._sends = SendCounts(self._sends.run, self._sends.not_run + 1)
         else:
-            self._sends = Sends(self._sends.run + 1, self._sends.not_run)
-        step = decide(plan.route, ended.ending, self._sends)
-        if step in {Step.resend, Step.resume} and not self._may_go_on(
+            self._sends = SendCounts(self._sends.run + 1, self._sends.not_run)
+        step = decide_next_step(plan.route, ended.ending, self._sends)
+        if step in {NextStep.resend, NextStep.resume} and not self._may_go_on(
             plan,
             ended,
         ):
-            return give_up(ended.ending, has_run=self._sends.run > 0)
+            return final_step(ended.ending, has_run=self._sends.run > 0)
         return step
 
     def _may_go_on(self, plan: '_Plan', ended: Ended) -> bool:
         if plan.ends_s - _now_s() < LEFT_LEAST_S:
             return False
-        if ended.ending is Ending.unsent:
+        if ended.ending is AttemptOutcome.unsent:
             return True
         return self._tools.may_retry(plan.service)
 
@@ -291,14 +299,14 @@
         self._note_answer()
 
     def _note_answer(self) -> None:
-        metrics, tap = self._tools.metrics, self._tap
-        events = tap.count if tap else 0
-        first_ms = tap.first_ms if tap else 0
-        pause_ms = tap.pause_ms if tap else 0
+        metrics, parser = self._tools.metrics, self._parser
+        events = parser.count if parser else 0
+        first_ms = parser.first_ms if parser else 0
+        pause_ms = parser.pause_ms if parser else 0
         age_s = self._age_s()
         metrics.answered(self._node, events)
         metrics.ended(self._node, ANSWERED, age_s)
-        if tap is not None:
+        if parser is not None:
             metrics.streamed(
                 self._node,
                 first_ms / MS_PER_S,
@@ -314,14 +322,14 @@
             age_ms=_in_ms(age_s),
         )
 
-    def _finish(self, step: Step, ended: Ended) -> None:
-        if self._has_begun or step is Step.cut:
+    def _finish(self, step: NextStep, ended: Ended) -> None:
+        if self._has_begun or step is NextStep.cut:
             self._cut(Code.stream_cut)
-        elif step is Step.pass_on and not ended.head.promises_not_run:
+        elif step is NextStep.pass_on and not ended.head.implies_not_run:
             self._caller.answer(
                 ended.head.status, ended.head.headers, ended.body
             )
-        elif step is Step.tell_not_run:
+        elif step is NextStep.tell_not_run:
             self._refuse(Code.no_backend_server)
         else:
             self._refuse(Code.outcome_unknown)
@@ -389,7 +397,7 @@
             waited_ms=_in_ms(waited_s),
         )
 
-    def _log_step(self, plan: '_Plan', ended: Ended, step: Step) -> None:
+    def _log_step(self, plan: '_Plan', ended: Ended, step: NextStep) -> None:
         self._tools.log.note(
             ATTEMPT_FAILED,
             call=self._call.call_id,
@@ -403,11 +411,11 @@
             age_ms=_in_ms(self._age_s()),
         )
 
-    def _resume_after(self, route: Route) -> str:
+    def _last_event_id(self, route: Route) -> str:
         if not route.is_resumable:
             return ''
-        own = self._tap.last_id if self._tap else ''
-        return own or self._call.resume_after
+        own = self._parser.last_id if self._parser else ''
+        return own or self._call.last_event_id
 
     def _age_s(self) -> float:
         return _now_s() - self._started_s
@@ -434,11 +442,11 @@
 
 STATUS_UNAVAILABLE = 503
 _RETRY_CODES = MappingProxyType({
-    Ending.unsent: Code.retry_connect_failed,
-    Ending.declined: Code.retry_backend_leaving,
-    Ending.failed: Code.retry_backend_failed,
-    Ending.lost: Code.retry_reset,
-    Ending.cut: Code.retry_stream_cut,
+    AttemptOutcome.unsent: Code.retry_connect_failed,
+    AttemptOutcome.declined: Code.retry_backend_leaving,
+    AttemptOutcome.failed: Code.retry_backend_failed,
+    AttemptOutcome.lost: Code.retry_reset,
+    AttemptOutcome.cut: Code.retry_stream_cut,
 })
 
 
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -226,7 +226,7 @@
         table = self._state.table()
         service = table.services.get(pool) if table else None
         engine = service.engine if service else None
-        return fleet_policy(engine.memory_tokens if engine else 0)
+        return fleet_policy(engine.kv_capacity_tokens if engine else 0)
 
     def _tell_placed(self, placed: PromptPlaced) -> None:
         self._loads.tell_placed(placed)
--- a/src/siskinpass/process/fleet/tickets.py
+++ b/src/siskinpass/process/fleet/tickets.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from siskinpass.request.inbound import Call, Prompt
+from siskinpass.request.inbound import InboundRequest, Prompt
 from siskinpass.request.ticket import PromptPiece, Ticket
 from siskinpass.version.routes import Route, RouteTable
 
@@ -44,7 +44,7 @@
 
 
 def make_ticket(
-    call: Call,
+    call: InboundRequest,
     plan: Plan,
     attempt: Attempt,
 ) -> Ticket:
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -54,10 +54,10 @@
 from siskinpass.process.streams import StreamWatch
 from siskinpass.process.treewatch import TreeWatch
 from siskinpass.request.ticket import ServerView
-from siskinpass.version.book import TreeVersion
 from siskinpass.version.document import tree_mapping
 from siskinpass.version.repository import Edit, Proposal, TreeRepository
 from siskinpass.version.schema import Pool
+from siskinpass.version.tree_version import TreeVersion
 
 RECHECK_EVERY_S = 0.5
 LEAVING_NOTICE_S = 1.0
@@ -259,7 +259,7 @@
     async def propose(self, proposal: Proposal) -> int:
         """Accept an edit and put it in force here at once."""
         version = await self._repository.propose(proposal)
-        self.tree_watch.offer(version)
+        self.tree_watch.adopt_if_newer(version)
         return version.number
 
     async def history(self) -> tuple[Edit, ...]:
--- a/src/siskinpass/process/relay.py
+++ b/src/siskinpass/process/relay.py
@@ -22,11 +22,11 @@
 from siskinpass.process.run import RequestRun, RunOutcome, RunTools
 from siskinpass.process.streams import StreamWatch
 from siskinpass.request.answer import error_answer, whole_answer
-from siskinpass.request.call import Call, read_call
+from siskinpass.request.call import Call, parse_call
 from siskinpass.request.claim import ClaimState
 from siskinpass.request.head import RequestHead
 from siskinpass.request.retry import RetryBudget
-from siskinpass.version.book import VersionBook
+from siskinpass.version.tree_version import CurrentVersion
 
 MS_PER_S = 1000
 LEAVING_RETRY_MS = 100
@@ -39,7 +39,7 @@
 
     name: str
     incarnation: int
-    book: VersionBook
+    book: CurrentVersion
     dispatcher: Dispatcher
     backends: BackendPool
     watch: StreamWatch
@@ -122,7 +122,7 @@
         version = self._parts.book.current
         if version is None:
             raise RefusedError(Code.no_tree_in_force, '', MS_PER_S)
-        return read_call(head, body, version)
+        return parse_call(head, body, version)
 
     async def _answer(
         self,
@@ -247,8 +247,8 @@
             return
         if outcome.code is None:
             self._parts.metrics.answered(call.node, outcome.tokens)
-        promise = call.promise
-        met = outcome.code is None and outcome.meets(promise)
+        class_settings = call.class_settings
+        met = outcome.code is None and outcome.meets(class_settings)
         self._parts.counts.note(
             Outcome(
                 call.node,
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -27,9 +27,9 @@
 from siskinpass.request.answer import error_body, stream_head, whole_answer
 from siskinpass.request.call import CHAT_PATH, Call
 from siskinpass.request.retry import RetryBudget
-from siskinpass.request.stream import TokenTap
+from siskinpass.request.stream import TokenStreamParser
 from siskinpass.request.ticket import Refused, Ticket
-from siskinpass.version.schema import Promise
+from siskinpass.version.schema import ClassSettings
 
 MS_PER_S = 1000
 ATTEMPTS_MOST = 16
@@ -69,10 +69,10 @@
     first_ms: float = 0
     token_ms: float = 0
 
-    def meets(self, promise: Promise) -> bool:
+    def meets(self, class_settings: ClassSettings) -> bool:
         """Tell whether the latency targets of a class were met."""
-        in_time = self.first_ms <= promise.first_token_ms
-        return in_time and self.token_ms <= promise.token_ms
+        in_time = self.first_ms <= class_settings.first_token_ms
+        return in_time and self.token_ms <= class_settings.token_ms
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,9 +116,9 @@
         self._events: list[bytes] = []
         self._kept_bytes = 0
         self._is_service = bool(call.service_path)
-        self._tap = None
+        self._parser = None
         if not self._is_service:
-            self._tap = TokenTap(event_marker(request_id))
+            self._parser = TokenStreamParser(event_marker(request_id))
         self._keep_alive = False
         self.started = False
         self.ran = Ran.not_run
@@ -126,7 +126,7 @@
 
     @property
     def _has_tokens(self) -> bool:
-        return self._tap is not None and self._tap.tokens > 0
+        return self._parser is not None and self._parser.tokens > 0
 
     @property
     def _is_pausable(self) -> bool:
@@ -143,8 +143,8 @@
         self._keep_alive = keep_alive
         self._caller.on_lost = self._lose_caller
         self._caller.on_flow = self._set_flow
-        promise = self._call.promise
-        self._tools.budget.earn(self._call.node, promise.retry_fraction)
+        class_settings = self._call.class_settings
+        self._tools.budget.earn(self._call.node, class_settings.retry_fraction)
         for number in range(ATTEMPTS_MOST):
             try:
                 await self._try(f'{self.outcome.request_id}.{number}')
@@ -182,7 +182,7 @@
             self._attempt.break_off(BackendError(Code.retry_backend_slow))
 
     async def _try(self, ticket_id: str) -> None:
-        pool = self._call.promise.pool
+        pool = self._call.class_settings.pool
         dispatcher = self._tools.dispatcher
         server = await self._wait_for_slot(ticket_id)
         failed = True
@@ -196,31 +196,31 @@
             dispatcher.release(pool, ticket_id, failed=failed)
 
     async def _wait_for_slot(self, ticket_id: str) -> str:
-        promise = self._call.promise
+        class_settings = self._call.class_settings
         if not self._caller.is_open:
             raise CallerGoneError(Code.stream_cut)
         ticket = Ticket(
             ticket_id=ticket_id,
             entry=self._tools.name,
-            pool=promise.pool,
+            pool=class_settings.pool,
             node=self._call.node,
-            tier=promise.tier,
+            tier=class_settings.tier,
             opened_s=self._arrived_s,
-            target_s=promise.first_token_ms / MS_PER_S,
-            max_wait_s=promise.max_wait_ms / MS_PER_S,
-            share=promise.share,
+            target_s=class_settings.first_token_ms / MS_PER_S,
+            max_wait_s=class_settings.max_wait_ms / MS_PER_S,
+            share=class_settings.share,
             prefix=self._call.prefix,
             pausable=self._is_pausable,
             resumed=self._has_tokens or self._pauses > 0,
             avoid=self._avoid,
-            token_s=promise.token_ms / MS_PER_S,
+            token_s=class_settings.token_ms / MS_PER_S,
         )
         self._slot = self._loop.create_future()
         try:
             self._tools.dispatcher.ask(ticket, self)
             server = await self._slot
         except CallerGoneError:
-            self._tools.dispatcher.withdraw(promise.pool, ticket_id)
+            self._tools.dispatcher.withdraw(class_settings.pool, ticket_id)
             raise
         finally:
             self._slot = None
@@ -239,9 +239,9 @@
             connection.cancel()
             raise CallerGoneError(Code.stream_cut)
         attempt = Attempt(
-            self._call.promise.pool,
+            self._call.class_settings.pool,
             server,
-            self._tap,
+            self._parser,
             self._forward,
         )
         self._attempt = attempt
@@ -262,12 +262,12 @@
             return service_request(self._call, request_id, address)
         priority = 0
         if self._tools.tells_priority:
-            priority = self._call.promise.tier
+            priority = self._call.class_settings.tier
         return engine_request(
             self._call,
             request_id,
             address,
-            EngineTerms(priority, self._tap.tokens),
+            EngineTerms(priority, self._parser.tokens),
         )
 
     def _check_whole(self, attempt: Attempt) -> None:
@@ -333,18 +333,18 @@
         )
 
     def _note_tokens(self) -> None:
-        if self._tap is None:
+        if self._parser is None:
             return
-        self.outcome.tokens = self._tap.tokens
-        if self._tap.tokens > 1:
-            span_s = self._tap.last_s - self._tap.first_s
-            gaps = self._tap.tokens - 1
+        self.outcome.tokens = self._parser.tokens
+        if self._parser.tokens > 1:
+            span_s = self._parser.last_s - self._parser.first_s
+            gaps = self._parser.tokens - 1
             self.outcome.token_ms = span_s * MS_PER_S / gaps
 
     def _prepare_retry(self, error: BackendError) -> None:
         """Make ready for another attempt, or raise where there is none."""
-        if self._tap is not None:
-            self._tap.drop_partial()
+        if self._parser is not None:
+            self._parser.drop_partial()
         if self._is_service:
             self._events.clear()
         self._check_may_retry(error)
--- a/src/siskinpass/process/status.py
+++ b/src/siskinpass/process/status.py
@@ -31,7 +31,7 @@
 from siskinpass.process.peers import PeerLinks
 from siskinpass.process.store import Store
 from siskinpass.process.treewatch import PEER_ERRORS
-from siskinpass.version.book import VersionBook
+from siskinpass.version.tree_version import CurrentVersion
 
 STATUS = 'status/promises'
 EVERY_S = 1.0
@@ -62,7 +62,7 @@
     name: str
     store: Store
     links: PeerLinks
-    book: VersionBook
+    book: CurrentVersion
     counts: CountBook
     members: Callable[[], list[Member]]
 
@@ -160,12 +160,12 @@
         if version is None:
             return
         for node in self._merged.nodes():
-            promise = version.tree.promise(*node.split('/', 1))
-            if promise is None:
+            class_settings = version.tree.class_settings(*node.split('/', 1))
+            if class_settings is None:
                 continue
             watch = self._watches.get(node)
             if watch is None:
-                watch = BreachWatch(self._policy, promise.objective)
+                watch = BreachWatch(self._policy, class_settings.objective)
                 self._watches[node] = watch
             seconds = self._merged.window(node, last, self._policy.long_s)
             self._note(node, watch.judge(seconds, last))
--- a/src/siskinpass/process/streams.py
+++ b/src/siskinpass/process/streams.py
@@ -6,7 +6,7 @@
 from siskinpass.codes import Code
 from siskinpass.exceptions import BackendError
 from siskinpass.process.dispatcher import Dispatcher
-from siskinpass.request.stream import TokenTap
+from siskinpass.request.stream import TokenStreamParser
 from siskinpass.request.ticket import TokensObserved
 
 SWEEP_S = 0.1
@@ -23,7 +23,7 @@
 
     pool: str
     server: str
-    tap: TokenTap | None
+    parser: TokenStreamParser | None
     sent_s: float
     stalled_s: float
 
@@ -40,7 +40,7 @@
     __slots__ = ('first_told', 'last_s', 'token_s', 'tokens')
 
     def __init__(self, attempt: Watched) -> None:
-        self.tokens = attempt.tap.tokens if attempt.tap else 0
+        self.tokens = attempt.parser.tokens if attempt.parser else 0
         self.last_s = attempt.sent_s
         self.token_s = 0.0
         self.first_told = False
@@ -122,10 +122,10 @@
             self._dispatcher.observe(pool, speed.observed(server))
 
     def _measure(self, attempt: Watched, progress: _Progress) -> None:
-        tap = attempt.tap
-        if tap is None or attempt.stalled_s:
+        parser = attempt.parser
+        if parser is None or attempt.stalled_s:
             return
-        count = tap.tokens - progress.tokens
+        count = parser.tokens - progress.tokens
         if count <= 0:
             return
         first_s = 0.0
@@ -136,9 +136,9 @@
             first_s = max(0.0, attempt.first_token_s - attempt.sent_s)
             progress.last_s = attempt.first_token_s
             count -= 1
-        token_s = (tap.last_s - progress.last_s) / count if count else 0.0
+        token_s = (parser.last_s - progress.last_s) / count if count else 0.0
         progress.token_s = token_s or progress.token_s
-        progress.tokens, progress.last_s = tap.tokens, tap.last_s
+        progress.tokens, progress.last_s = parser.tokens, parser.last_s
         key = (attempt.pool, attempt.server)
         speed = self._speeds.get(key)
         if speed is None:
@@ -156,7 +156,7 @@
             if now_s - attempt.stalled_s > CALLER_STALLED_S:
                 attempt.drop_caller()
             return
-        if attempt.tap is None:
+        if attempt.parser is None:
             silent_s, bound_s = now_s - attempt.sent_s, WHOLE_SILENT_S
         elif progress.first_told:
             silent_s = now_s - progress.last_s
--- a/src/siskinpass/process/treewatch.py
+++ b/src/siskinpass/process/treewatch.py
@@ -15,8 +15,8 @@
 from siskinpass.process.membership import Member
 from siskinpass.process.peers import CALL_TIMEOUT_S, PeerLinks
 from siskinpass.process.rendezvous import rank
-from siskinpass.version.book import TreeVersion, VersionBook
 from siskinpass.version.repository import TreeRepository, load_version
+from siskinpass.version.tree_version import CurrentVersion, TreeVersion
 
 WATCHERS = 2
 WATCH_S = 10.0
@@ -46,14 +46,14 @@
         self._repository = repository
         self._links = links
         self._on_version = on_version
-        self._book = VersionBook()
+        self._book = CurrentVersion()
         self._members: tuple[Member, ...] = ()
         self._told = asyncio.Event()
         self._stored_version = 0
         self._log = PartLog('tree')
 
     @property
-    def book(self) -> VersionBook:
+    def book(self) -> CurrentVersion:
         """Return the version in force."""
         return self._book
 
@@ -63,9 +63,9 @@
         if any(member.tree_version > self._book.number for member in members):
             self._told.set()
 
-    def offer(self, version: TreeVersion) -> None:
+    def adopt_if_newer(self, version: TreeVersion) -> None:
         """Put a version in force if it is higher."""
-        if self._book.offer(version):
+        if self._book.adopt_if_newer(version):
             self._log.note('A version is in force.', number=version.number)
             self._on_version(version)
 
@@ -99,7 +99,7 @@
         version = await self._repository.load(stored)
         self._stored_version = stored.version
         if version is not None:
-            self.offer(version)
+            self.adopt_if_newer(version)
 
     async def _follow_peers(self) -> None:
         while True:
@@ -135,7 +135,7 @@
         except TreeError as error:
             self._log.warn('A peer told a faulty tree.', why=str(error))
             return False
-        self.offer(version)
+        self.adopt_if_newer(version)
         return True
 
     def _is_watcher(self) -> bool:
--- a/src/siskinpass/request/call.py
+++ b/src/siskinpass/request/call.py
@@ -14,8 +14,8 @@
 from siskinpass.codes import Code
 from siskinpass.exceptions import RequestError
 from siskinpass.request.head import RequestHead
-from siskinpass.version.book import TreeVersion
-from siskinpass.version.schema import Pool, Promise
+from siskinpass.version.schema import ClassSettings, Pool
+from siskinpass.version.tree_version import TreeVersion
 
 CHAT_PATH = '/v1/chat/completions'
 TEXT_PATH = '/v1/completions'
@@ -27,7 +27,7 @@
 REPEATABLE_HEADER = 'x-siskinpass-repeatable'
 IDEMPOTENCY_HEADER = 'idempotency-key'
 BEARER = 'Bearer '
-IDEMPOTENCY_KEY_LENGTH_MOST = 255
+MAX_IDEMPOTENCY_KEY_LENGTH = 255
 PREFIX_CHARS = 256
 DIGEST_BYTES = 16
 ENGINE = 'engine'
@@ -49,7 +49,7 @@
 
     workspace: str
     node: str
-    promise: Promise
+    class_settings: ClassSettings
     pool: Pool
     path: str
     fields: Mapping[str, Any]
@@ -67,7 +67,7 @@
         return hashlib.blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def read_call(
+def parse_call(
     head: RequestHead,
     body: bytes,
     version: TreeVersion,
@@ -77,24 +77,24 @@
     :raises RequestError: with the code of what is wrong.
     """
     workspace, leaf = _identify(head, version)
-    promise = version.tree.promise(workspace, leaf)
-    if promise is None:
+    class_settings = version.tree.class_settings(workspace, leaf)
+    if class_settings is None:
         raise RequestError(Code.unknown_class, f'no class {leaf}')
     is_service = head.path.startswith(SERVICE_PREFIX)
     fields = {} if is_service else _parse_fields(body)
-    pool = version.tree.root.pools[promise.pool]
-    _check_kind(promise, pool, fields, is_service=is_service)
+    pool = version.tree.root.pools[class_settings.pool]
+    _check_kind(class_settings, pool, fields, is_service=is_service)
     return Call(
         workspace=workspace,
         node=f'{workspace}/{leaf}',
-        promise=promise,
+        class_settings=class_settings,
         pool=pool,
         path=head.path,
         fields=fields,
         body=body,
         service_path=_service_path(head.path) if is_service else '',
         stream=bool(fields.get('stream', False)),
-        repeatable=_is_repeatable(head, promise),
+        repeatable=_is_repeatable(head, class_settings),
         idempotency_key=_idempotency_key(head),
         prefix=_prefix(fields),
     )
@@ -128,24 +128,26 @@
 
 
 def _check_kind(
-    promise: Promise,
+    class_settings: ClassSettings,
     pool: Pool,
     fields: Mapping[str, Any],
     *,
     is_service: bool,
 ) -> None:
     if is_service == (pool.kind == ENGINE):
-        detail = f'the class goes to pool {promise.pool}'
+        detail = f'the class goes to pool {class_settings.pool}'
         raise RequestError(Code.unknown_path, detail)
     if is_service:
         return
     if fields.get('model') not in pool.models:
         detail = f'no model {fields.get("model")}'
         raise RequestError(Code.unknown_model, detail)
-    _check_fields(fields, promise)
+    _check_fields(fields, class_settings)
 
 
-def _check_fields(fields: Mapping[str, Any], promise: Promise) -> None:
+def _check_fields(
+    fields: Mapping[str, Any], class_settings: ClassSettings
+) -> None:
     if not isinstance(fields.get('stream', False), bool):
         raise RequestError(Code.wrong_field, 'stream is not true or false')
     if not isinstance(fields.get('prompt', ''), str):
@@ -154,25 +156,27 @@
         raise RequestError(Code.wrong_field, 'messages is not a list')
     if 'prompt' not in fields and 'messages' not in fields:
         raise RequestError(Code.wrong_field, 'prompt or messages is missing')
-    most = fields.get('max_tokens')
-    if most is None:
+    max_tokens = fields.get('max_tokens')
+    if max_tokens is None:
         return
-    is_whole = isinstance(most, int) and not isinstance(most, bool)
-    if not is_whole or not 1 <= most <= promise.max_tokens:
-        reason = f'max_tokens is not within 1 and {promise.max_tokens}'
+    is_integer = isinstance(max_tokens, int) and not isinstance(
+        max_tokens, bool
+    )
+    if not is_integer or not 1 <= max_tokens <= class_settings.max_tokens:
+        reason = f'max_tokens is not within 1 and {class_settings.max_tokens}'
         raise RequestError(Code.wrong_field, reason)
 
 
-def _is_repeatable(head: RequestHead, promise: Promise) -> bool:
-    told = head.headers.get(REPEATABLE_HEADER, 'yes').lower()
-    if told not in {'yes', 'no'}:
+def _is_repeatable(head: RequestHead, class_settings: ClassSettings) -> bool:
+    answer = head.headers.get(REPEATABLE_HEADER, 'yes').lower()
+    if answer not in {'yes', 'no'}:
         raise RequestError(Code.wrong_field, 'repeatable is not yes or no')
-    return promise.repeatable and told == 'yes'
+    return class_settings.repeatable and answer == 'yes'
 
 
 def _idempotency_key(head: RequestHead) -> str:
     key = head.headers.get(IDEMPOTENCY_HEADER, '')
-    if len(key) > IDEMPOTENCY_KEY_LENGTH_MOST:
+    if len(key) > MAX_IDEMPOTENCY_KEY_LENGTH:
         raise RequestError(Code.wrong_field, 'the idempotency key is too long')
     return key
 
--- a/src/siskinpass/request/claim.py
+++ b/src/siskinpass/request/claim.py
@@ -11,7 +11,7 @@
 
 from siskinpass.codes import Code
 
-STORED_BODY_BYTES_MOST = 65_536
+MAX_STORED_BODY_BYTES = 65_536
 
 
 class ClaimState(enum.Enum):
@@ -53,7 +53,7 @@
         return cls(**fields)
 
 
-class Verdict(enum.Enum):
+class ClaimAction(enum.Enum):
     """Tell what to do with a request whose key has a claim."""
 
     run = 'run'
@@ -63,20 +63,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class ClaimDecision:
     """Hold a verdict and, for a refusal, its code."""
 
-    verdict: Verdict
+    action: ClaimAction
     code: Code | None = None
 
 
-def judge(
+def decide_claim(
     found: Claim,
     nonce: str,
     digest: str,
     age_s: float,
     open_s: float,
-) -> Judgement:
+) -> ClaimDecision:
     """Judge a request by the claim that its key already has.
 
     :param nonce: nonce of this request's own write.
@@ -85,20 +85,20 @@
     :param open_s: age up to which an open claim may still be running.
     """
     if found.digest != digest:
-        return Judgement(Verdict.refuse, Code.key_reused)
+        return ClaimDecision(ClaimAction.refuse, Code.key_reused)
     if found.state is not ClaimState.open:
-        return _judge_settled(found)
+        return _decide_settled(found)
     if found.nonce == nonce:
-        return Judgement(Verdict.run)
+        return ClaimDecision(ClaimAction.run)
     code = Code.claim_in_progress if age_s < open_s else Code.outcome_unknown
-    return Judgement(Verdict.refuse, code)
+    return ClaimDecision(ClaimAction.refuse, code)
 
 
-def _judge_settled(found: Claim) -> Judgement:
+def _decide_settled(found: Claim) -> ClaimDecision:
     if found.state is ClaimState.not_run:
-        return Judgement(Verdict.take_over)
+        return ClaimDecision(ClaimAction.take_over)
     if found.state is ClaimState.unknown:
-        return Judgement(Verdict.refuse, Code.outcome_unknown)
+        return ClaimDecision(ClaimAction.refuse, Code.outcome_unknown)
     if found.status:
-        return Judgement(Verdict.replay)
-    return Judgement(Verdict.refuse, Code.already_ran)
+        return ClaimDecision(ClaimAction.replay)
+    return ClaimDecision(ClaimAction.refuse, Code.already_ran)
--- a/src/siskinpass/request/events.py
+++ b/src/siskinpass/request/events.py
@@ -10,10 +10,12 @@
 EVENT_END = b'\n\n'
 ID_FIELD = b'id:'
 MS_PER_S = 1000
-HELD_BYTES_MOST = 262_144  # far above any event; bounds the memory of a stream
+MAX_BUFFERED_BYTES = (
+    262_144  # far above any event; bounds the memory of a stream
+)
 
 
-class EventTap:
+class EventStreamParser:
     """Cut a stream into whole events and keep the id of the last."""
 
     def __init__(self, began_s: float = 0.0) -> None:
@@ -25,7 +27,7 @@
         self._last_s = 0.0
         self._first_s = 0.0
         self._pause_s = 0.0
-        self._held = b''
+        self._buffer = b''
         self._last_id = ''
         self._count = 0
 
@@ -42,7 +44,7 @@
     @property
     def is_whole(self) -> bool:
         """Return whether no piece of an event is held back."""
-        return not self._held
+        return not self._buffer
 
     @property
     def first_ms(self) -> int:
@@ -60,36 +62,36 @@
         :param now_s: the clock in seconds.
         :raises BackendError: where an event is too large.
         """
-        arrived = self._held + piece
+        arrived = self._buffer + piece
         end = arrived.rfind(EVENT_END)
         if end < 0:
-            self._hold(arrived)
+            self._keep_partial(arrived)
             return b''
         end += len(EVENT_END)
         whole = arrived[:end]
-        self._hold(arrived[end:])
+        self._keep_partial(arrived[end:])
         for event in whole.split(EVENT_END)[:-1]:
-            self._note(event)
-        self._follow_time(now_s)
+            self._note_event(event)
+        self._note_time(now_s)
         return whole
 
     def drop_partial(self) -> None:
         """Forget a piece of an event that broke off."""
-        self._held = b''
+        self._buffer = b''
 
-    def _hold(self, piece: bytes) -> None:
-        if len(piece) > HELD_BYTES_MOST:
+    def _keep_partial(self, piece: bytes) -> None:
+        if len(piece) > MAX_BUFFERED_BYTES:
             raise BackendError(Code.backend_error, 'an event is too large')
-        self._held = piece
+        self._buffer = piece
 
-    def _follow_time(self, now_s: float) -> None:
+    def _note_time(self, now_s: float) -> None:
         if self._last_s:
             self._pause_s = max(self._pause_s, now_s - self._last_s)
         else:
             self._first_s = now_s - self._began_s
         self._last_s = now_s
 
-    def _note(self, event: bytes) -> None:
+    def _note_event(self, event: bytes) -> None:
         self._count += 1
         for line in event.split(b'\n'):
             if line.startswith(ID_FIELD):
--- a/src/siskinpass/request/inbound.py
+++ b/src/siskinpass/request/inbound.py
@@ -5,7 +5,7 @@
 Header = tuple[bytes, bytes]
 STATUS_OK = 200
 STATUS_REDIRECT = 300
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,14 +14,14 @@
 
     :param target: path and query, unchanged.
     :param headers: names and values in their order, as they were spelled.
-    :param keeps_open: whether the caller keeps the connection afterwards.
+    :param keep_alive: whether the caller keeps the connection afterwards.
     """
 
     method: bytes
     target: bytes
     headers: tuple[Header, ...]
     body: bytes = b''
-    keeps_open: bool = True
+    keep_alive: bool = True
 
     @property
     def path(self) -> str:
@@ -57,21 +57,21 @@
     :param parts: in the order of the prompt; the last belongs to the request
         or its session.
     :param tokens_in: length of the prompt.
-    :param tokens_out_most: most tokens that are generated.
+    :param max_tokens_out: most tokens that are generated.
     :param tokens_out_hint: the caller's estimate, 0 where there is none.
     """
 
     parts: tuple[PromptPart, ...] = ()
     tokens_in: int = 0
-    tokens_out_most: int = 0
+    max_tokens_out: int = 0
     tokens_out_hint: int = 0
 
     @property
     def tokens_out(self) -> int:
         """Return the expected number of generated tokens."""
         if self.tokens_out_hint:
-            return min(self.tokens_out_hint, self.tokens_out_most)
-        return self.tokens_out_most
+            return min(self.tokens_out_hint, self.max_tokens_out)
+        return self.max_tokens_out
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
@@ -80,14 +80,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class InboundRequest:
     """Hold a caller's request, decoded.
 
     :param call_id: the caller's id of this attempt, empty where it has none.
     :param caller_timeout_s: how long the caller waits, from arrival on,
         0 where it does not say.
     :param key: API key, empty where there is none.
-    :param resume_after: last event that the caller has, empty for none.
+    :param last_event_id: last event that the caller has, empty for none.
     :param headers: headers for the backend server, without those that
         concern one connection or that only this system sets.
     """
@@ -97,27 +97,27 @@
     call_id: str = ''
     caller_timeout_s: float = 0.0
     key: str = ''
-    resume_after: str = ''
+    last_event_id: str = ''
     prompt: Prompt = field(default_factory=Prompt)
     headers: tuple[Header, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class SendOrder:
+class SendContext:
     """State what this system tells a backend server beside the request.
 
     :param server: id of the server that must run it.
-    :param left_s: time that is left for the answer.
+    :param remaining_s: time that is left for the answer.
     :param workspace: name of the workspace, empty where none applies.
     :param urgency: 0 is the most urgent, 9 the least.
-    :param resume_after: last event that was passed on, empty for none.
+    :param last_event_id: last event that was passed on, empty for none.
     """
 
     server: str
-    left_s: float
+    remaining_s: float
     workspace: str = ''
     urgency: int = 5
-    resume_after: str = ''
+    last_event_id: str = ''
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,6 +146,6 @@
         return STATUS_OK <= self.status < STATUS_REDIRECT
 
     @property
-    def promises_not_run(self) -> bool:
+    def implies_not_run(self) -> bool:
         """Return whether callers take the status for "not run"."""
-        return self.status in PROMISES
+        return self.status in NOT_RUN_STATUSES
--- a/src/siskinpass/request/resend.py
+++ b/src/siskinpass/request/resend.py
@@ -7,10 +7,10 @@
 import enum
 from dataclasses import dataclass
 
-from siskinpass.version.routes import Repeat, Route
+from siskinpass.version.routes import RepeatPolicy, Route
 
 
-class Ending(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """Tell how an attempt ended.
 
     ``unsent``: no byte of the request reached a server.
@@ -27,7 +27,7 @@
     cut = 'cut'
 
 
-class Step(enum.Enum):
+class NextStep(enum.Enum):
     """Tell what to do next.
 
     ``resend``: send the request to another server.
@@ -48,11 +48,11 @@
 
 # Sends that were not run cost the caller little; three cover a server that
 # left, one that is full and one whose address has a new owner.
-NOT_RUN_SENDS_MOST = 3
+MAX_NOT_RUN_SENDS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Sends:
+class SendCounts:
     """Count the sends of one request so far.
 
     :param run: sends that a server ran or may have run.
@@ -63,28 +63,33 @@
     not_run: int = 0
 
 
-def decide(route: Route, ending: Ending, sends: Sends) -> Step:
+def decide_next_step(
+    route: Route, ending: AttemptOutcome, sends: SendCounts
+) -> NextStep:
     """Return the next step, were there time and budget for another send."""
-    if ending in {Ending.unsent, Ending.declined}:
-        if sends.not_run < NOT_RUN_SENDS_MOST:
-            return Step.resend
-        return give_up(ending, has_run=sends.run > 0)
-    if not route.may_repeat or sends.run >= route.attempts_most:
-        return give_up(ending, has_run=True)
-    if ending is Ending.cut:
-        return Step.resume if route.is_resumable else Step.cut
-    if ending is Ending.failed and route.repeat is not Repeat.idempotent:
-        return Step.pass_on
-    return Step.resend
-
-
-def give_up(ending: Ending, *, has_run: bool) -> Step:
+    if ending in {AttemptOutcome.unsent, AttemptOutcome.declined}:
+        if sends.not_run < MAX_NOT_RUN_SENDS:
+            return NextStep.resend
+        return final_step(ending, has_run=sends.run > 0)
+    if not route.may_repeat or sends.run >= route.max_attempts:
+        return final_step(ending, has_run=True)
+    if ending is AttemptOutcome.cut:
+        return NextStep.resume if route.is_resumable else NextStep.cut
+    if (
+        ending is AttemptOutcome.failed
+        and route.repeat is not RepeatPolicy.idempotent
+    ):
+        return NextStep.pass_on
+    return NextStep.resend
+
+
+def final_step(ending: AttemptOutcome, *, has_run: bool) -> NextStep:
     """Return how to end a request that is not sent again.
 
     :param has_run: whether this or an earlier send may have run.
     """
-    if ending is Ending.cut:
-        return Step.cut
-    if ending is Ending.failed:
-        return Step.pass_on
-    return Step.tell_unknown if has_run else Step.tell_not_run
+    if ending is AttemptOutcome.cut:
+        return NextStep.cut
+    if ending is AttemptOutcome.failed:
+        return NextStep.pass_on
+    return NextStep.tell_unknown if has_run else NextStep.tell_not_run
--- a/src/siskinpass/request/retry.py
+++ b/src/siskinpass/request/retry.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 
 BURST = 5.0
-NODES_KEPT = 20_000
+MAX_NODES = 20_000
 
 
 class RetryBudget:
@@ -21,7 +21,7 @@
         """Count one request of a class."""
         left = self._left.pop(node, BURST)
         self._left[node] = min(BURST, left + fraction)
-        if len(self._left) > NODES_KEPT:
+        if len(self._left) > MAX_NODES:
             self._left.popitem(last=False)
 
     def spend(self, node: str) -> bool:
--- a/src/siskinpass/request/retry_window.py
+++ b/src/siskinpass/request/retry_window.py
@@ -8,7 +8,7 @@
 from collections import deque
 
 # Windows slide differently at each instance; this part of the bound is used.
-USED_PART = 0.8
+USED_FRACTION = 0.8
 
 
 class RetryWindow:
@@ -42,7 +42,7 @@
             while times and times[0] < first_s:
                 times.popleft()
         bound = self._ratio * len(self._requests) + self._slack / instances
-        if len(self._spent) + 1 > USED_PART * bound:
+        if len(self._spent) + 1 > USED_FRACTION * bound:
             return False
         self._spent.append(now_s)
         return True
--- a/src/siskinpass/request/stream.py
+++ b/src/siskinpass/request/stream.py
@@ -8,11 +8,11 @@
 from siskinpass.exceptions import BackendError
 
 EVENT_END = b'\n\n'
-DONE = b'data: [DONE]\n\n'
-HELD_BYTES_MOST = 262_144
+DONE_EVENT = b'data: [DONE]\n\n'
+MAX_BUFFERED_BYTES = 262_144
 
 
-class TokenTap:
+class TokenStreamParser:
     """Count the tokens of one stream and check whom they are for."""
 
     def __init__(self, marker: bytes) -> None:
@@ -21,7 +21,7 @@
         :param marker: bytes that each event of this request must hold.
         """
         self._marker = marker
-        self._held = b''
+        self._buffer = b''
         self._tokens = 0
         self._done = False
         self._first_s = 0.0
@@ -59,7 +59,7 @@
         if self._done:
             raise BackendError(Code.answer_crossed, 'bytes after the end')
         events = whole.count(EVENT_END)
-        ended = whole.endswith(DONE)
+        ended = whole.endswith(DONE_EVENT)
         if ended:
             events -= 1
         if whole.count(self._marker) != events:
@@ -73,23 +73,23 @@
 
     def drop_partial(self) -> None:
         """Forget a piece of an event that broke off."""
-        self._held = b''
+        self._buffer = b''
 
     def _whole_events(self, piece: bytes) -> bytes:
-        if self._held:
-            piece = self._held + piece
-            self._held = b''
+        if self._buffer:
+            piece = self._buffer + piece
+            self._buffer = b''
         if piece.endswith(EVENT_END):
             return piece
         cut = piece.rfind(EVENT_END)
         if cut < 0:
-            self._hold(piece)
+            self._keep_partial(piece)
             return b''
         cut += len(EVENT_END)
-        self._hold(piece[cut:])
+        self._keep_partial(piece[cut:])
         return piece[:cut]
 
-    def _hold(self, piece: bytes) -> None:
-        if len(piece) > HELD_BYTES_MOST:
+    def _keep_partial(self, piece: bytes) -> None:
+        if len(piece) > MAX_BUFFERED_BYTES:
             raise BackendError(Code.backend_error, 'an event is too large')
-        self._held = piece
+        self._buffer = piece
--- a/src/siskinpass/request/order.py
+++ b/src/siskinpass/request/ticket_queue.py
@@ -14,7 +14,7 @@
 
 from siskinpass.request.ticket import Ticket
 
-SHARE_CREDIT_MOST = 2.0
+MAX_SHARE_CREDIT = 2.0
 
 
 class TierQueue:
@@ -22,53 +22,53 @@
 
     def __init__(self) -> None:
         """Start empty and without credit."""
-        self._timely: SortedDict = SortedDict()
+        self._on_time: SortedDict = SortedDict()
         self._late: SortedDict = SortedDict()
         self.share = 0.0
         self.credit = 0.0
 
     def __len__(self) -> int:
         """Return how many tickets wait."""
-        return len(self._timely) + len(self._late)
+        return len(self._on_time) + len(self._late)
 
     def add(self, ticket: Ticket) -> None:
         """Add a ticket."""
-        self._timely[_rank(ticket)] = ticket
+        self._on_time[_rank(ticket)] = ticket
         self.share = ticket.share
 
     def discard(self, ticket: Ticket) -> None:
         """Remove a ticket."""
         rank = _rank(ticket)
-        if self._timely.pop(rank, None) is None:
+        if self._on_time.pop(rank, None) is None:
             self._late.pop(rank, None)
 
-    def move_late(self, due_s: float) -> None:
+    def demote_late(self, due_s: float) -> None:
         """Set the tickets back whose first token was due before a time."""
-        while self._timely:
-            rank, ticket = self._timely.peekitem(self._begun())
+        while self._on_time:
+            rank, ticket = self._on_time.peekitem(self._first_unstarted())
             if ticket.resumed or ticket.due_s >= due_s:
                 return
-            self._late[rank] = self._timely.pop(rank)
+            self._late[rank] = self._on_time.pop(rank)
 
     def first(self) -> Ticket:
         """Return the ticket to serve next."""
-        queue = self._timely or self._late
+        queue = self._on_time or self._late
         return queue.peekitem(0)[1]
 
-    def first_of(self, count: int) -> list[Ticket]:
+    def next_tickets(self, count: int) -> list[Ticket]:
         """Return the tickets to serve next, in order."""
-        ordered = chain(self._timely.values(), self._late.values())
+        ordered = chain(self._on_time.values(), self._late.values())
         return list(islice(ordered, count))
 
     def last(self) -> Ticket:
         """Return the ticket to serve last."""
-        queue = self._late or self._timely
+        queue = self._late or self._on_time
         return queue.peekitem(-1)[1]
 
-    def _begun(self) -> int:
+    def _first_unstarted(self) -> int:
         """Return the place of the first ticket whose stream has not begun."""
-        place = self._timely.bisect_left(_FIRST_FRESH)
-        return min(place, len(self._timely) - 1)
+        index = self._on_time.bisect_left(_FIRST_UNSTARTED_RANK)
+        return min(index, len(self._on_time) - 1)
 
 
 class WaitingTickets:
@@ -78,7 +78,7 @@
         """Start empty."""
         self._tiers: SortedDict = SortedDict()
         self._tickets: dict[str, Ticket] = {}
-        self._fresh = 0
+        self._unstarted = 0
 
     def __len__(self) -> int:
         """Return how many tickets wait."""
@@ -98,14 +98,14 @@
         return [tier for tier, queue in self._tiers.items() if queue]
 
     @property
-    def fresh(self) -> int:
+    def unstarted(self) -> int:
         """Return how many tickets wait whose stream has not begun."""
-        return self._fresh
+        return self._unstarted
 
     def add(self, ticket: Ticket) -> None:
         """Add a ticket."""
         self._tickets[ticket.ticket_id] = ticket
-        self._fresh += not ticket.resumed
+        self._unstarted += not ticket.resumed
         queue = self._tiers.get(ticket.tier)
         if queue is None:
             queue = TierQueue()
@@ -116,23 +116,23 @@
         """Remove a ticket and return it, or none where it is unknown."""
         ticket = self._tickets.pop(ticket_id, None)
         if ticket is not None:
-            self._fresh -= not ticket.resumed
+            self._unstarted -= not ticket.resumed
             self._tiers[ticket.tier].discard(ticket)
         return ticket
 
-    def move_late(self, due_s: float) -> None:
+    def demote_late(self, due_s: float) -> None:
         """Set the tickets back whose first token was due before a time."""
         for queue in self._tiers.values():
-            queue.move_late(due_s)
+            queue.demote_late(due_s)
 
     def first(self, tier: int) -> Ticket:
         """Return the next ticket of a tier."""
         return self._tiers[tier].first()
 
-    def first_of(self, tier: int, count: int) -> list[Ticket]:
+    def next_tickets(self, tier: int, count: int) -> list[Ticket]:
         """Return the next tickets of a tier, in order."""
         queue = self._tiers.get(tier)
-        return queue.first_of(count) if queue else []
+        return queue.next_tickets(count) if queue else []
 
     def lowest(self) -> Ticket | None:
         """Return the ticket to shed first, never a stream that has begun."""
@@ -143,13 +143,13 @@
                 return last
         return None
 
-    def count_above(self, tier: int) -> int:
+    def count_at_or_above(self, tier: int) -> int:
         """Return how many tickets wait in this tier and those above."""
         return sum(
             len(queue) for other, queue in self._tiers.items() if other <= tier
         )
 
-    def owed_tier(self) -> int | None:
+    def tier_with_credit(self) -> int | None:
         """Return a lower tier whose guaranteed share is due, or none."""
         for tier in reversed(self.tiers):
             if self._tiers[tier].credit >= 1:
@@ -166,10 +166,10 @@
                 queue.credit = 0.0
             elif tier > granted.tier:
                 credit = queue.credit + queue.share
-                queue.credit = min(SHARE_CREDIT_MOST, credit)
+                queue.credit = min(MAX_SHARE_CREDIT, credit)
 
 
-_FIRST_FRESH = (True, float('-inf'), '')
+_FIRST_UNSTARTED_RANK = (True, float('-inf'), '')
 
 
 def _rank(ticket: Ticket) -> tuple[bool, float, str]:
--- a/src/siskinpass/request/silence.py
+++ b/src/siskinpass/request/timeouts.py
@@ -7,22 +7,22 @@
 
 from dataclasses import dataclass
 
-from siskinpass.request.resend import Sends
+from siskinpass.request.resend import SendCounts
 from siskinpass.version.routes import Route
 
 # An answer later than twice its target is late anyway; a second server still
 # brings it within the caller's time limit.
-FIRST_TARGETS = 2.0
+FIRST_FACTOR = 2.0
 # A prompt may wait for its turn at a busy engine; that is no silence.
-STREAM_FIRST_TARGETS = 5.0
-FIRST_LEAST_S = 0.4
+STREAM_FIRST_FACTOR = 5.0
+MIN_FIRST_S = 0.4
 # A pause of four times what is on time is beyond what a busy engine shows.
-PAUSES = 4.0
-PAUSE_LEAST_S = 1.0
+PAUSE_FACTOR = 4.0
+MIN_PAUSE_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class SilenceLimits:
+class AttemptTimeouts:
     """Bound the silence of a server, in seconds.
 
     :param first_s: longest time to the first sign of an answer.
@@ -33,15 +33,15 @@
     pause_s: float
 
 
-def silence_limits(route: Route, sends: Sends) -> SilenceLimits | None:
+def attempt_timeouts(route: Route, sends: SendCounts) -> AttemptTimeouts | None:
     """Return the bounds of an attempt, none where silence must be waited out.
 
     :param sends: sends before this one.
     """
-    if not route.may_repeat or sends.run + 1 >= route.attempts_most:
+    if not route.may_repeat or sends.run + 1 >= route.max_attempts:
         return None
-    targets = STREAM_FIRST_TARGETS if route.is_stream else FIRST_TARGETS
-    return SilenceLimits(
-        max(FIRST_LEAST_S, route.target_s * targets),
-        max(PAUSE_LEAST_S, route.pause_s * PAUSES),
+    factor = STREAM_FIRST_FACTOR if route.is_stream else FIRST_FACTOR
+    return AttemptTimeouts(
+        max(MIN_FIRST_S, route.target_s * factor),
+        max(MIN_PAUSE_S, route.pause_s * PAUSE_FACTOR),
     )
--- a/src/siskinpass/version/document.py
+++ b/src/siskinpass/version/document.py
@@ -11,21 +11,21 @@
 from siskinpass.version.schema import (
     BOUNDS,
     ApiKey,
-    Plain,
+    ClassSettings,
     Pool,
-    Promise,
     Root,
+    SettingValue,
     Tree,
     Workspace,
     field_types,
 )
 
 KINDS = frozenset(('engine', 'service'))
-NAME_LENGTH_MOST = 64
-FLAG = 'bool'
-WHOLE = 'int'
-FRACTION = 'float'
-TEXTS = 'tuple[str, ...]'
+MAX_NAME_LENGTH = 64
+BOOLEAN = 'bool'
+INTEGER = 'int'
+FLOAT = 'float'
+STRING_TUPLE = 'tuple[str, ...]'
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,9 +115,9 @@
         self.faults: list[Fault] = []
 
     def read_tree(self, node: yaml.Node | None) -> Tree:
-        parts = dict(self._pairs(node, '/'))
+        parts = dict(self._children(node, '/'))
         known = ('deployment', 'settings', 'pools', 'workspaces')
-        self._refuse_unknown(parts, known, '/')
+        self._reject_unknown(parts, known, '/')
         root = Root(
             self._deployment(parts, node),
             self._settings(parts.get('settings'), 'settings'),
@@ -125,7 +125,7 @@
         )
         workspaces = {
             name: self._workspace(branch, f'workspaces/{name}')
-            for name, branch in self._pairs(
+            for name, branch in self._children(
                 parts.get('workspaces'),
                 'workspaces',
             )
@@ -143,11 +143,11 @@
         if child is None:
             self._fault('deployment', node, 'is missing')
             return ''
-        return str(self._plain(child, 'deployment', 'str'))
+        return str(self._parse_value(child, 'deployment', 'str'))
 
     def _pools(self, node: yaml.Node | None) -> dict[str, Pool]:
         pools = {}
-        for name, pool in self._pairs(node, 'pools'):
+        for name, pool in self._children(node, 'pools'):
             path = f'pools/{name}'
             settings = self._fields(pool, path, Pool)
             if settings.get('kind', 'engine') not in KINDS:
@@ -156,11 +156,11 @@
         return pools
 
     def _workspace(self, node: yaml.Node | None, path: str) -> Workspace:
-        parts = dict(self._pairs(node, path))
-        self._refuse_unknown(parts, ('settings', 'classes', 'keys'), path)
+        parts = dict(self._children(node, path))
+        self._reject_unknown(parts, ('settings', 'classes', 'keys'), path)
         classes = {
             name: self._settings(leaf, f'{path}/classes/{name}')
-            for name, leaf in self._pairs(
+            for name, leaf in self._children(
                 parts.get('classes'),
                 f'{path}/classes',
             )
@@ -188,8 +188,8 @@
         self,
         node: yaml.Node | None,
         path: str,
-    ) -> dict[str, Plain]:
-        return self._fields(node, path, Promise)
+    ) -> dict[str, SettingValue]:
+        return self._fields(node, path, ClassSettings)
 
     def _fields(
         self,
@@ -199,33 +199,35 @@
     ) -> dict[str, Any]:
         kinds = field_types(schema)
         settings = {}
-        for name, child in self._pairs(node, path):
+        for name, child in self._children(node, path):
             kind = str(kinds.get(name, ''))
             if not kind:
                 self._fault(f'{path}/{name}', child, 'is not a setting')
                 continue
-            parsed = self._plain(child, f'{path}/{name}', _kind_name(kind))
+            parsed = self._parse_value(
+                child, f'{path}/{name}', _type_name(kind)
+            )
             if parsed is not None:
                 settings[name] = parsed
         return settings
 
-    def _plain(self, node: yaml.Node, path: str, kind: str) -> Any:
+    def _parse_value(self, node: yaml.Node, path: str, kind: str) -> Any:
         parsed = yaml.CSafeLoader('').construct_object(node, deep=True)
-        if kind == TEXTS and isinstance(parsed, list):
+        if kind == STRING_TUPLE and isinstance(parsed, list):
             return tuple(str(text) for text in parsed)
-        if kind == FRACTION and _is_whole(parsed):
+        if kind == FLOAT and _is_integer(parsed):
             parsed = float(parsed)
         if type(parsed).__name__ != kind:
             self._fault(path, node, f'is not of type {kind}')
             return None
         bounds = BOUNDS.get(path.rsplit('/', 1)[-1])
-        if bounds and not bounds.least <= parsed <= bounds.most:
-            reason = f'is not within {bounds.least} and {bounds.most}'
+        if bounds and not bounds.minimum <= parsed <= bounds.maximum:
+            reason = f'is not within {bounds.minimum} and {bounds.maximum}'
             self._fault(path, node, reason)
             return None
         return parsed
 
-    def _pairs(
+    def _children(
         self,
         node: yaml.Node | None,
         path: str,
@@ -246,7 +248,7 @@
             else:
                 self._fault(f'{path}/{name}', key, 'is not a usable name')
 
-    def _refuse_unknown(
+    def _reject_unknown(
         self,
         parts: Mapping[str, yaml.Node],
         known: tuple[str, ...],
@@ -258,10 +260,13 @@
     def _check_pools(self, tree: Tree, node: yaml.Node | None) -> None:
         for name, branch in tree.workspaces.items():
             for leaf in branch.classes:
-                promise = tree.promise(name, leaf)
-                if promise and promise.pool not in tree.root.pools:
+                class_settings = tree.class_settings(name, leaf)
+                if (
+                    class_settings
+                    and class_settings.pool not in tree.root.pools
+                ):
                     path = f'workspaces/{name}/classes/{leaf}/pool'
-                    reason = f'names no pool: {promise.pool}'
+                    reason = f'names no pool: {class_settings.pool}'
                     self._fault(path, node, reason)
 
     def _fault(self, path: str, node: yaml.Node | None, reason: str) -> None:
@@ -269,11 +274,11 @@
         self.faults.append(Fault(path.replace('//', '/'), line, reason))
 
 
-def _is_whole(parsed: Any) -> bool:
+def _is_integer(parsed: Any) -> bool:
     return isinstance(parsed, int) and not isinstance(parsed, bool)
 
 
-def _kind_name(kind: str) -> str:
+def _type_name(kind: str) -> str:
     return kind.removeprefix("<class '").removesuffix("'>")
 
 
@@ -283,4 +288,4 @@
 
 def _is_name(name: str) -> bool:
     plain = name.replace('-', '').replace('_', '').replace('.', '')
-    return plain.isalnum() and len(name) <= NAME_LENGTH_MOST
+    return plain.isalnum() and len(name) <= MAX_NAME_LENGTH
--- a/src/siskinpass/version/edit.py
+++ b/src/siskinpass/version/edit.py
@@ -65,31 +65,31 @@
     :raises ConflictError: where both edits changed the same leaf, or one
         removed what the other changed.
     """
-    clashes: list[Change] = []
-    merged = _merge(base, mine, theirs, _Place('', clashes))
-    if clashes:
-        raise ConflictError(tuple(clashes))
+    conflicts: list[Change] = []
+    merged = _merge(base, mine, theirs, _MergePosition('', conflicts))
+    if conflicts:
+        raise ConflictError(tuple(conflicts))
     return merged
 
 
 @dataclass(frozen=True, slots=True)
-class _Place:
+class _MergePosition:
     """Hold where a merge stands and the clashes that it met."""
 
     path: str
-    clashes: list[Change]
+    conflicts: list[Change]
 
-    def below(self, name: str) -> '_Place':
-        return _Place(_join(self.path, name), self.clashes)
+    def child(self, name: str) -> '_MergePosition':
+        return _MergePosition(_join(self.path, name), self.conflicts)
 
 
-def _merge(base: Any, mine: Any, theirs: Any, place: _Place) -> Any:
+def _merge(base: Any, mine: Any, theirs: Any, position: _MergePosition) -> Any:
     if base == theirs or mine == theirs:
         return mine
     if base == mine:
         return theirs
     if not (isinstance(mine, Mapping) and isinstance(theirs, Mapping)):
-        place.clashes.append(Change(place.path, base, theirs))
+        position.conflicts.append(Change(position.path, base, theirs))
         return mine
     old = base if isinstance(base, Mapping) else {}
     merged = {}
@@ -98,7 +98,7 @@
             old.get(name, MISSING),
             mine.get(name, MISSING),
             theirs.get(name, MISSING),
-            place.below(name),
+            position.child(name),
         )
         if found is not MISSING:
             merged[name] = found
--- a/src/siskinpass/version/keys.py
+++ b/src/siskinpass/version/keys.py
@@ -8,7 +8,7 @@
 
 KEY_BYTES = 32
 SALT_BYTES = 12
-KEYS_CACHED = 4096
+MAX_CACHED_KEYS = 4096
 
 
 def make_key(default_class: str = '') -> tuple[str, ApiKey]:
@@ -46,7 +46,7 @@
             for name, branch in tree.workspaces.items()
             for key in branch.keys
         ]
-        self.find = lru_cache(maxsize=KEYS_CACHED)(self._find)
+        self.find = lru_cache(maxsize=MAX_CACHED_KEYS)(self._find)
 
     def _find(self, key: str) -> tuple[str, ApiKey] | None:
         for salt, digest, name, entry in self._keys:
--- a/src/siskinpass/version/repository.py
+++ b/src/siskinpass/version/repository.py
@@ -25,15 +25,15 @@
     TreeError,
 )
 from siskinpass.process.store import Store, Stored
-from siskinpass.version.book import TreeVersion
 from siskinpass.version.document import parse_tree
 from siskinpass.version.edit import rebase
 from siskinpass.version.keys import KeyTable
+from siskinpass.version.tree_version import TreeVersion
 
 HEAD = 'tree/head'
 PART = 'tree/parts/'
-HISTORY_KEPT = 50
-TRIES = 4
+MAX_HISTORY = 50
+MAX_TRIES = 4
 DIGEST_BYTES = 16
 ROOT = '/'
 
@@ -132,7 +132,7 @@
         """
         nonce = secrets.token_hex(8)
         failures: list[StoreError] = []
-        while len(failures) < TRIES:
+        while len(failures) < MAX_TRIES:
             try:
                 return await self._try_propose(proposal, nonce)
             except (StoreConflictError, StoreUnconfirmedError) as error:
@@ -148,12 +148,12 @@
         nonce: str,
     ) -> TreeVersion:
         stored = await self._store.read(HEAD)
-        head = _load_head(stored.body) if stored else _EMPTY
+        head = _load_head(stored.body) if stored else _EMPTY_HEAD
         found = _find_edit(head, nonce)
         if found is not None:
             tree = await self._assemble(found.manifest)
             return make_version(found.number, tree)
-        tree = await self._rebased(proposal, head)
+        tree = await self._rebase_on_head(proposal, head)
         version = make_version(head.number + 1, tree)
         manifest = await self._write_parts(tree, head.manifest)
         edit = Edit(
@@ -164,7 +164,7 @@
             self._stamp(),
             manifest,
         )
-        history = (*head.history, edit)[-HISTORY_KEPT:]
+        history = (*head.history, edit)[-MAX_HISTORY:]
         body = _dump_head(Head(edit.number, manifest, history))
         if stored is None:
             await self._store.create(HEAD, body)
@@ -172,7 +172,9 @@
             await self._store.replace(HEAD, body, stored.version)
         return version
 
-    async def _rebased(self, proposal: Proposal, head: Head) -> dict[str, Any]:
+    async def _rebase_on_head(
+        self, proposal: Proposal, head: Head
+    ) -> dict[str, Any]:
         if proposal.base == head.number:
             return dict(proposal.tree)
         theirs = await self._assemble(head.manifest)
@@ -215,7 +217,7 @@
             for name, part in manifest.items()
             if name != ROOT
         }
-        self._forget_parts({digest, *manifest.values()})
+        self._trim_cache({digest, *manifest.values()})
         return tree
 
     async def _part(self, digest: str) -> bytes:
@@ -228,7 +230,7 @@
             self._parts[digest] = body
         return body
 
-    def _forget_parts(self, wanted: set[str]) -> None:
+    def _trim_cache(self, wanted: set[str]) -> None:
         """Keep no more parts in memory than a version or two has."""
         if len(self._parts) > 2 * len(wanted) + 8:
             self._parts = {
@@ -292,4 +294,4 @@
     return Head(fields['number'], fields['manifest'], history)
 
 
-_EMPTY = Head(0, '', ())
+_EMPTY_HEAD = Head(0, '', ())
--- a/src/siskinpass/version/routes.py
+++ b/src/siskinpass/version/routes.py
@@ -12,7 +12,7 @@
 from itertools import accumulate, product
 
 
-class Repeat(enum.Enum):
+class RepeatPolicy(enum.Enum):
     """Tell what may be repeated."""
 
     idempotent = 'idempotent'
@@ -37,8 +37,8 @@
     :param target_s: time to the answer, for streams to the first event.
     :param pause_s: longest pause between events that is on time, 0 for none.
     :param tier: priority, 0 is the most urgent.
-    :param attempts_most: backend servers that may run one request.
-    :param is_open: whether requests need no key.
+    :param max_attempts: backend servers that may run one request.
+    :param is_public: whether requests need no key.
     :param has_prompt: whether requests carry a prompt for a model engine.
     :param is_resumable: whether a cut stream may go on elsewhere.
     """
@@ -46,35 +46,35 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     shares: tuple[Share, ...]
     timeout_s: float
     target_s: float
     pause_s: float = 0.0
     tier: int = 0
-    attempts_most: int = 1
-    is_open: bool = False
+    max_attempts: int = 1
+    is_public: bool = False
     has_prompt: bool = False
     is_resumable: bool = False
 
     @property
     def is_stream(self) -> bool:
         """Return whether the answer is a series of events."""
-        return self.repeat is Repeat.stream
+        return self.repeat is RepeatPolicy.stream
 
     @property
     def may_repeat(self) -> bool:
         """Return whether a request may run more than once."""
-        return self.repeat is Repeat.idempotent or self.is_resumable
+        return self.repeat is RepeatPolicy.idempotent or self.is_resumable
 
-    def service_at(self, draw: float) -> str:
+    def pick_service(self, draw: float) -> str:
         """Return the service that a draw selects.
 
         :param draw: uniform over 0 to 1, 1 excluded.
         """
         bounds = list(accumulate(share.weight for share in self.shares))
-        place = bisect(bounds, draw * bounds[-1])
-        return self.shares[min(place, len(self.shares) - 1)].service
+        index = bisect(bounds, draw * bounds[-1])
+        return self.shares[min(index, len(self.shares) - 1)].service
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,28 +82,29 @@
     """Describe the model engines of a service.
 
     :param slots: requests that one engine runs at once.
-    :param memory_tokens: tokens that its memory holds.
-    :param token_bytes: bytes of one token's attention state.
-    :param takes_backups: whether a run's state can be copied while it runs.
+    :param kv_capacity_tokens: tokens that its memory holds.
+    :param kv_bytes_per_token: bytes of one token's attention state.
+    :param supports_kv_backup: whether the KV cache of a running request can be
+        copied to another engine.
     """
 
     slots: int
-    memory_tokens: int
-    token_bytes: int = 0
-    takes_backups: bool = False
+    kv_capacity_tokens: int
+    kv_bytes_per_token: int = 0
+    supports_kv_backup: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
     """Describe one service.
 
-    :param connections_most: connections that one backend server accepts from
+    :param max_connections: connections that one backend server accepts from
         all instances together.
     :param engine: its model engines, none for a plain service.
     """
 
     name: str
-    connections_most: int
+    max_connections: int
     engine: Engine | None = None
 
 
@@ -184,19 +185,19 @@
     def _tiers(self) -> dict[tuple[int, int], int]:
         """Number the pairs of tiers without gaps."""
         upper = {self._workspace_tier(one) for one in self.workspaces}
-        upper.add(self._least_tier)
+        upper.add(self._lowest_tier)
         lower = {route.tier for route in self.routes}
         pairs = sorted(product(upper, lower))
         return {pair: tier for tier, pair in enumerate(pairs)}
 
     @cached_property
-    def _least_tier(self) -> int:
+    def _lowest_tier(self) -> int:
         tiers = (one.tier for one in self.workspaces if one.tier is not None)
         return max(tiers, default=0)
 
     def _workspace_tier(self, workspace: Workspace | None) -> int:
         if workspace is None or workspace.tier is None:
-            return self._least_tier
+            return self._lowest_tier
         return workspace.tier
 
     @cached_property
--- a/src/siskinpass/version/schema.py
+++ b/src/siskinpass/version/schema.py
@@ -4,16 +4,16 @@
 from dataclasses import dataclass, field, fields
 from types import MappingProxyType
 
-TIER_MOST = 15
+MAX_TIER = 15
 MINUTE_MS = 60_000
 HOUR_MS = 3_600_000
-TOKENS_MOST = 1_000_000
+MAX_TOKENS = 1_000_000
 
-Plain = str | int | float | bool
+SettingValue = str | int | float | bool
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
+class ClassSettings:
     """Hold the settings in force for one request class.
 
     Latencies are counted from the arrival of the request.
@@ -79,8 +79,10 @@
     :param classes: what each request class overrides.
     """
 
-    settings: Mapping[str, Plain] = field(default_factory=dict)
-    classes: Mapping[str, Mapping[str, Plain]] = field(default_factory=dict)
+    settings: Mapping[str, SettingValue] = field(default_factory=dict)
+    classes: Mapping[str, Mapping[str, SettingValue]] = field(
+        default_factory=dict
+    )
     keys: tuple[ApiKey, ...] = ()
 
 
@@ -89,7 +91,7 @@
     """Hold the root of the tree."""
 
     deployment: str
-    settings: Mapping[str, Plain] = field(default_factory=dict)
+    settings: Mapping[str, SettingValue] = field(default_factory=dict)
     pools: Mapping[str, Pool] = field(default_factory=dict)
 
 
@@ -100,12 +102,14 @@
     root: Root
     workspaces: Mapping[str, Workspace]
 
-    def promise(self, workspace: str, request_class: str) -> Promise | None:
+    def class_settings(
+        self, workspace: str, request_class: str
+    ) -> ClassSettings | None:
         """Return what holds for a class, or none where there is no such."""
         branch = self.workspaces.get(workspace)
         if branch is None or request_class not in branch.classes:
             return None
-        return Promise(
+        return ClassSettings(
             **{
                 **self.root.settings,
                 **branch.settings,
@@ -118,19 +122,19 @@
 class Bounds:
     """Bound a number, both ends included."""
 
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
 
 BOUNDS = MappingProxyType({
-    'tier': Bounds(0, TIER_MOST),
+    'tier': Bounds(0, MAX_TIER),
     'first_token_ms': Bounds(1, HOUR_MS),
     'token_ms': Bounds(1, MINUTE_MS),
     'max_wait_ms': Bounds(1, HOUR_MS),
     'objective': Bounds(0, 1),
     'share': Bounds(0, 0.5),
     'retry_fraction': Bounds(0, 1),
-    'max_tokens': Bounds(1, TOKENS_MOST),
+    'max_tokens': Bounds(1, MAX_TOKENS),
     'slots': Bounds(1, 1024),
     'slots_most': Bounds(1, 1024),
 })
--- a/src/siskinpass/version/book.py
+++ b/src/siskinpass/version/tree_version.py
@@ -24,7 +24,7 @@
     text: str
 
 
-class VersionBook:
+class CurrentVersion:
     """Hold the version in force."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         """Return the number in force, 0 where there is none."""
         return self._current.number if self._current else 0
 
-    def offer(self, version: TreeVersion) -> bool:
+    def adopt_if_newer(self, version: TreeVersion) -> bool:
         """Put a version in force if it is higher, and tell whether it is."""
         if version.number <= self.number:
             return False
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -41,8 +41,8 @@
     def _policy_of(self, pool):
         table = self.state.table()
         service = table.services.get(pool) if table else None
-        memory_tokens = service.engine.memory_tokens if service else 0
-        return fleet_policy(memory_tokens)
+        kv_capacity_tokens = service.engine.kv_capacity_tokens if service else 0
+        return fleet_policy(kv_capacity_tokens)
 
 
 class TestEngineMemory:
--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -5,7 +5,12 @@
 import pytest
 
 from siskinpass.codes import Code
-from siskinpass.request.claim import Claim, ClaimState, Verdict, judge
+from siskinpass.request.claim import (
+    Claim,
+    ClaimAction,
+    ClaimState,
+    decide_claim,
+)
 
 
 def claim(nonce, state=ClaimState.open, digest='d', status=0):
@@ -17,37 +22,42 @@
     """Test the verdict for each state of a claim."""
 
     @pytest.mark.parametrize(
-        ('found', 'age_s', 'verdict', 'code'),
+        ('found', 'age_s', 'action', 'code'),
         [
-            (claim('mine'), 1, Verdict.run, None),
-            (claim('other'), 1, Verdict.refuse, Code.claim_in_progress),
-            (claim('other'), 99, Verdict.refuse, Code.outcome_unknown),
-            (claim('mine', digest='x'), 1, Verdict.refuse, Code.key_reused),
-            (claim('other', ClaimState.not_run), 1, Verdict.take_over, None),
+            (claim('mine'), 1, ClaimAction.run, None),
+            (claim('other'), 1, ClaimAction.refuse, Code.claim_in_progress),
+            (claim('other'), 99, ClaimAction.refuse, Code.outcome_unknown),
+            (claim('mine', digest='x'), 1, ClaimAction.refuse, Code.key_reused),
+            (
+                claim('other', ClaimState.not_run),
+                1,
+                ClaimAction.take_over,
+                None,
+            ),
             (
                 claim('other', ClaimState.done, status=200),
                 1,
-                Verdict.replay,
+                ClaimAction.replay,
                 None,
             ),
             (
                 claim('other', ClaimState.done),
                 1,
-                Verdict.refuse,
+                ClaimAction.refuse,
                 Code.already_ran,
             ),
             (
                 claim('other', ClaimState.unknown),
                 1,
-                Verdict.refuse,
+                ClaimAction.refuse,
                 Code.outcome_unknown,
             ),
         ],
     )
-    def test_table(self, found, age_s, verdict, code):
+    def test_table(self, found, age_s, action, code):
         """Each state has one truthful verdict."""
-        judgement = judge(found, 'mine', 'd', age_s, 60.0)
-        assert (judgement.verdict, judgement.code) == (verdict, code)
+        decision = decide_claim(found, 'mine', 'd', age_s, 60.0)
+        assert (decision.action, decision.code) == (action, code)
 
     def test_stored_claim_reads_back(self):
         """A claim survives the store."""
@@ -79,10 +89,10 @@
     def look(self, store, runs, lost):
         """Read the claim and follow the verdict."""
         found = store['claim']
-        judgement = judge(found, self.nonce, 'd', 1.0, 60.0)
-        if judgement.verdict is Verdict.run:
+        decision = decide_claim(found, self.nonce, 'd', 1.0, 60.0)
+        if decision.action is ClaimAction.run:
             self.step = 'run'
-        elif judgement.verdict is Verdict.take_over:
+        elif decision.action is ClaimAction.take_over:
             self.version = store['version']
             self.step = 'take'
         else:
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -29,12 +29,12 @@
     def test_class_inherits(self):
         """A class takes what its workspace and the root say."""
         tree = parse_tree(GOOD)
-        counter = tree.promise('a', 'counter')
-        draft = tree.promise('a', 'draft')
+        counter = tree.class_settings('a', 'counter')
+        draft = tree.class_settings('a', 'draft')
         assert (counter.tier, counter.objective) == (0, 0.9)
         assert (draft.tier, draft.objective) == (3, 0.9)
-        assert tree.promise('a', 'none') is None
-        assert tree.promise('none', 'draft') is None
+        assert tree.class_settings('a', 'none') is None
+        assert tree.class_settings('none', 'draft') is None
 
     @pytest.mark.parametrize(
         ('old', 'new', 'wanted'),
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from siskinpass.exceptions import BackendError
-from siskinpass.request.events import HELD_BYTES_MOST, EventTap
+from siskinpass.request.events import MAX_BUFFERED_BYTES, EventStreamParser
 
 EVENTS = tuple(
     f'id: {number}\ndata: x{number}\n\n'.encode() for number in range(1, 9)
@@ -30,18 +30,18 @@
     @given(CUTS)
     def test_passes_the_stream_on_unchanged(self, cuts):
         """However it arrives, the whole stream comes out."""
-        tap = EventTap()
-        assert b''.join(map(tap.feed, pieces(cuts))) == STREAM
-        assert (tap.count, tap.last_id, tap.is_whole) == (8, '8', True)
+        parser = EventStreamParser()
+        assert b''.join(map(parser.feed, pieces(cuts))) == STREAM
+        assert (parser.count, parser.last_id, parser.is_whole) == (8, '8', True)
 
     @given(CUTS, st.integers(0, len(STREAM)))
     def test_resumes_without_a_gap(self, cuts, broken_at):
         """A cut anywhere and a resume after the last id lose nothing."""
-        tap = EventTap()
-        passed = tap.feed(STREAM[:broken_at])
-        tap.drop_partial()
-        done = int(tap.last_id or 0)
-        passed += tap.feed(b''.join(EVENTS[done:]))
+        parser = EventStreamParser()
+        passed = parser.feed(STREAM[:broken_at])
+        parser.drop_partial()
+        done = int(parser.last_id or 0)
+        passed += parser.feed(b''.join(EVENTS[done:]))
         assert passed == STREAM
 
     @pytest.mark.parametrize(
@@ -50,13 +50,13 @@
     )
     def test_follows_the_pauses(self, times, first_ms, pause_ms):
         """The first event and the longest pause are known for the log."""
-        tap = EventTap(began_s=1.0)
+        parser = EventStreamParser(began_s=1.0)
         for now_s, event in zip(times, EVENTS, strict=False):
-            tap.feed(event, now_s)
-        assert abs(tap.first_ms - first_ms) <= 1
-        assert abs(tap.pause_ms - pause_ms) <= 1
+            parser.feed(event, now_s)
+        assert abs(parser.first_ms - first_ms) <= 1
+        assert abs(parser.pause_ms - pause_ms) <= 1
 
     def test_an_endless_event_is_an_error(self):
         """The memory of a stream is bounded."""
         with pytest.raises(BackendError):
-            EventTap().feed(b'x' * (HELD_BYTES_MOST + 1))
+            EventStreamParser().feed(b'x' * (MAX_BUFFERED_BYTES + 1))
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -12,7 +12,7 @@
 from siskinpass.platform.config import decode_config
 from siskinpass.platform.workers import decode_worker
 from siskinpass.process.membership import Member
-from siskinpass.version.routes import Repeat
+from siskinpass.version.routes import RepeatPolicy
 
 SETTINGS = """
 node-name: "front-a-1"
@@ -107,10 +107,10 @@
         """Each name is decoded once, into seconds and checked types."""
         table = decode_config(CONFIG)
         route = table.routes[0]
-        assert (table.version, route.repeat) == (7, Repeat.stream)
+        assert (table.version, route.repeat) == (7, RepeatPolicy.stream)
         assert (route.timeout_s, route.pause_s) == (15.0, 0.8)
-        assert (route.is_resumable, route.attempts_most) == (True, 2)
-        assert table.services['lm'].engine.memory_tokens == 1000
+        assert (route.is_resumable, route.max_attempts) == (True, 2)
+        assert table.services['lm'].engine.kv_capacity_tokens == 1000
         assert table.limits.body_bytes == 99
         assert table.workspace_of('k').tier == 1
 
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -7,7 +7,7 @@
     decode_call,
     encode_send,
 )
-from siskinpass.request.inbound import SendOrder, WireRequest
+from siskinpass.request.inbound import SendContext, WireRequest
 
 FORGED = (
     b'X-Hold',
@@ -70,7 +70,7 @@
     def test_forged_system_headers_are_dropped(self, name):
         """What only this system sets never comes from a caller."""
         call = decode_call(request((name, b'forged')))
-        wire = encode_send(call, SendOrder('i-1', 1.0))
+        wire = encode_send(call, SendContext('i-1', 1.0))
         assert b'forged' not in wire
 
     def test_connection_headers_are_dropped(self):
@@ -88,7 +88,7 @@
     def test_sends_method_path_and_body_unchanged(self):
         """The request is the caller's, with the orders of this system."""
         call = decode_call(request((b'X-Attempt-Id', b'id-1')))
-        wire = encode_send(call, SendOrder('i-1', 0.25, 'w', urgency=0))
+        wire = encode_send(call, SendContext('i-1', 0.25, 'w', urgency=0))
         head, _, body = wire.partition(b'\r\n\r\n')
         lines = head.split(b'\r\n')
         assert lines[0] == b'POST /p/x?q=1 HTTP/1.1'
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -101,7 +101,7 @@
         store.plan = []
         found = _in_force(store)
         assert (version.number, found.number) == (2, 2)
-        assert found.tree.promise('a', 'c').tier == 2
+        assert found.tree.class_settings('a', 'c').tier == 2
 
     def test_lost_confirmation_is_found_by_nonce(self):
         """An edit that took effect unseen is not made twice."""
@@ -119,8 +119,8 @@
         propose(store, 1, tree(a=2, b=1))
         assert propose(store, 1, tree(a=1, b=2)).number == 3
         found = _in_force(store).tree
-        assert found.promise('a', 'c').tier == 2
-        assert found.promise('b', 'c').tier == 2
+        assert found.class_settings('a', 'c').tier == 2
+        assert found.class_settings('b', 'c').tier == 2
 
     def test_conflicting_edit_is_refused(self):
         """The second edit of one node names what changed."""
--- a/tests/test_resend.py
+++ b/tests/test_resend.py
@@ -7,16 +7,16 @@
 from hypothesis import strategies as st
 
 from siskinpass.request.resend import (
-    NOT_RUN_SENDS_MOST,
-    Ending,
-    Sends,
-    Step,
-    decide,
-    give_up,
+    MAX_NOT_RUN_SENDS,
+    AttemptOutcome,
+    NextStep,
+    SendCounts,
+    decide_next_step,
+    final_step,
 )
-from siskinpass.request.retry_window import USED_PART, RetryWindow
-from siskinpass.request.silence import silence_limits
-from siskinpass.version.routes import Repeat, Route, Share
+from siskinpass.request.retry_window import USED_FRACTION, RetryWindow
+from siskinpass.request.timeouts import attempt_timeouts
+from siskinpass.version.routes import RepeatPolicy, Route, Share
 
 
 def route(repeat, attempts=2, **more):
@@ -29,16 +29,16 @@
         (Share('s', 1),),
         15.0,
         0.2,
-        attempts_most=attempts,
+        max_attempts=attempts,
         **more,
     )
 
 
-IDEMPOTENT = route(Repeat.idempotent)
-ONCE = route(Repeat.once)
-STREAM = route(Repeat.stream)
-RESUMABLE = route(Repeat.stream, is_resumable=True)
-SINGLE = route(Repeat.idempotent, attempts=1)
+IDEMPOTENT = route(RepeatPolicy.idempotent)
+ONCE = route(RepeatPolicy.once)
+STREAM = route(RepeatPolicy.stream)
+RESUMABLE = route(RepeatPolicy.stream, is_resumable=True)
+SINGLE = route(RepeatPolicy.idempotent, attempts=1)
 
 
 class TestDecide:
@@ -47,55 +47,100 @@
     @pytest.mark.parametrize(
         ('kind', 'ending', 'sends', 'step'),
         [
-            (ONCE, Ending.unsent, Sends(0, 1), Step.resend),
-            (ONCE, Ending.declined, Sends(0, 1), Step.resend),
-            (ONCE, Ending.declined, Sends(0, 3), Step.tell_not_run),
-            (ONCE, Ending.lost, Sends(1, 0), Step.tell_unknown),
-            (ONCE, Ending.failed, Sends(1, 0), Step.pass_on),
-            (STREAM, Ending.lost, Sends(1, 0), Step.tell_unknown),
-            (STREAM, Ending.cut, Sends(1, 0), Step.cut),
-            (RESUMABLE, Ending.cut, Sends(1, 0), Step.resume),
-            (RESUMABLE, Ending.lost, Sends(1, 0), Step.resend),
-            (RESUMABLE, Ending.cut, Sends(2, 0), Step.cut),
-            (RESUMABLE, Ending.declined, Sends(1, 3), Step.tell_unknown),
-            (RESUMABLE, Ending.failed, Sends(1, 0), Step.pass_on),
-            (IDEMPOTENT, Ending.failed, Sends(1, 0), Step.resend),
-            (IDEMPOTENT, Ending.failed, Sends(2, 0), Step.pass_on),
-            (IDEMPOTENT, Ending.lost, Sends(1, 0), Step.resend),
-            (SINGLE, Ending.lost, Sends(1, 0), Step.tell_unknown),
+            (ONCE, AttemptOutcome.unsent, SendCounts(0, 1), NextStep.resend),
+            (ONCE, AttemptOutcome.declined, SendCounts(0, 1), NextStep.resend),
+            (
+                ONCE,
+                AttemptOutcome.declined,
+                SendCounts(0, 3),
+                NextStep.tell_not_run,
+            ),
+            (
+                ONCE,
+                AttemptOutcome.lost,
+                SendCounts(1, 0),
+                NextStep.tell_unknown,
+            ),
+            (ONCE, AttemptOutcome.failed, SendCounts(1, 0), NextStep.pass_on),
+            (
+                STREAM,
+                AttemptOutcome.lost,
+                SendCounts(1, 0),
+                NextStep.tell_unknown,
+            ),
+            (STREAM, AttemptOutcome.cut, SendCounts(1, 0), NextStep.cut),
+            (RESUMABLE, AttemptOutcome.cut, SendCounts(1, 0), NextStep.resume),
+            (RESUMABLE, AttemptOutcome.lost, SendCounts(1, 0), NextStep.resend),
+            (RESUMABLE, AttemptOutcome.cut, SendCounts(2, 0), NextStep.cut),
+            (
+                RESUMABLE,
+                AttemptOutcome.declined,
+                SendCounts(1, 3),
+                NextStep.tell_unknown,
+            ),
+            (
+                RESUMABLE,
+                AttemptOutcome.failed,
+                SendCounts(1, 0),
+                NextStep.pass_on,
+            ),
+            (
+                IDEMPOTENT,
+                AttemptOutcome.failed,
+                SendCounts(1, 0),
+                NextStep.resend,
+            ),
+            (
+                IDEMPOTENT,
+                AttemptOutcome.failed,
+                SendCounts(2, 0),
+                NextStep.pass_on,
+            ),
+            (
+                IDEMPOTENT,
+                AttemptOutcome.lost,
+                SendCounts(1, 0),
+                NextStep.resend,
+            ),
+            (
+                SINGLE,
+                AttemptOutcome.lost,
+                SendCounts(1, 0),
+                NextStep.tell_unknown,
+            ),
         ],
     )
     def test_table(self, kind, ending, sends, step):
         """Each ending of each kind has one step."""
-        assert decide(kind, ending, sends) is step
+        assert decide_next_step(kind, ending, sends) is step
 
     @pytest.mark.parametrize(
         ('kind', 'endings'),
         [
             (kind, endings)
             for kind in (IDEMPOTENT, ONCE, STREAM, RESUMABLE, SINGLE)
-            for endings in itertools.product(Ending, repeat=4)
+            for endings in itertools.product(AttemptOutcome, repeat=4)
         ],
     )
     def test_promises_hold_over_any_endings(self, kind, endings):
         """Runs are bounded, and "not run" is only said when it is true."""
-        sends = Sends()
+        sends = SendCounts()
         for ending in endings:
-            unrun = ending in {Ending.unsent, Ending.declined}
-            sends = Sends(sends.run + (not unrun), sends.not_run + unrun)
-            step = decide(kind, ending, sends)
-            if step not in {Step.resend, Step.resume}:
+            unrun = ending in {AttemptOutcome.unsent, AttemptOutcome.declined}
+            sends = SendCounts(sends.run + (not unrun), sends.not_run + unrun)
+            step = decide_next_step(kind, ending, sends)
+            if step not in {NextStep.resend, NextStep.resume}:
                 break
-        most = kind.attempts_most if kind.may_repeat else 1
+        most = kind.max_attempts if kind.may_repeat else 1
         assert sends.run <= most
-        assert sends.not_run <= NOT_RUN_SENDS_MOST
-        if step is Step.tell_not_run:
+        assert sends.not_run <= MAX_NOT_RUN_SENDS
+        if step is NextStep.tell_not_run:
             assert sends.run == 0
 
-    @pytest.mark.parametrize('ending', Ending)
+    @pytest.mark.parametrize('ending', AttemptOutcome)
     def test_giving_up_after_a_run_never_says_not_run(self, ending):
         """An earlier send that may have run is remembered."""
-        assert give_up(ending, has_run=True) is not Step.tell_not_run
+        assert final_step(ending, has_run=True) is not NextStep.tell_not_run
 
 
 class TestSilence:
@@ -104,12 +149,12 @@
     @pytest.mark.parametrize(
         ('kind', 'sends', 'is_bound'),
         [
-            (IDEMPOTENT, Sends(), True),
-            (RESUMABLE, Sends(), True),
-            (IDEMPOTENT, Sends(1, 0), False),
-            (SINGLE, Sends(), False),
-            (ONCE, Sends(), False),
-            (STREAM, Sends(), False),
+            (IDEMPOTENT, SendCounts(), True),
+            (RESUMABLE, SendCounts(), True),
+            (IDEMPOTENT, SendCounts(1, 0), False),
+            (SINGLE, SendCounts(), False),
+            (ONCE, SendCounts(), False),
+            (STREAM, SendCounts(), False),
         ],
     )
     def test_only_repeatable_work_is_taken_elsewhere(
@@ -119,7 +164,7 @@
         is_bound,
     ):
         """Silence is waited out where no other server may run the work."""
-        assert (silence_limits(kind, sends) is not None) is is_bound
+        assert (attempt_timeouts(kind, sends) is not None) is is_bound
 
 
 class TestRetryWindow:
@@ -151,7 +196,7 @@
             first_s = now_s - window_s
             counted = sum(at >= first_s for at in requests)
             used = sum(at >= first_s for at in spent)
-            assert used <= USED_PART * (ratio * counted + slack) + 1e-6
+            assert used <= USED_FRACTION * (ratio * counted + slack) + 1e-6
 
     def test_budget_comes_back_as_the_window_slides(self):
         """What was spent long ago counts no more."""
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from siskinpass.version.routes import (
-    Repeat,
+    RepeatPolicy,
     Route,
     RouteTable,
     Share,
@@ -17,7 +17,9 @@
 
 def route(prefix, host='h.example', **more):
     """Return a route."""
-    return Route(prefix, host, prefix, Repeat.once, SHARES, 1.0, 0.1, **more)
+    return Route(
+        prefix, host, prefix, RepeatPolicy.once, SHARES, 1.0, 0.1, **more
+    )
 
 
 TABLE = RouteTable(
@@ -108,7 +110,7 @@
     )
     def test_weights_split_requests(self, draw, expected):
         """A draw falls on a service by its weight."""
-        assert route('/').service_at(draw) == expected
+        assert route('/').pick_service(draw) == expected
 
     def test_table_without_workspaces_needs_no_keys(self):
         """Keys are asked for only where some are stated."""
--- a/tests/test_small_parts.py
+++ b/tests/test_small_parts.py
@@ -10,9 +10,9 @@
 from siskinpass.process.throughput import WINDOW_S as RATE_WINDOW_S
 from siskinpass.process.throughput import GrantRate
 from siskinpass.request.retry import BURST, RetryBudget
-from siskinpass.version.book import TreeVersion, VersionBook
 from siskinpass.version.keys import KeyTable, hash_key, make_key
 from siskinpass.version.schema import Root, Tree, Workspace
+from siskinpass.version.tree_version import CurrentVersion, TreeVersion
 
 POLICY = LimitPolicy(start=8, least=2, most=24, token_s=0.04)
 
@@ -143,12 +143,12 @@
     @given(st.lists(st.integers(1, 20)))
     def test_only_rises(self, numbers):
         """Whatever the store or a peer offers, the number only rises."""
-        book = VersionBook()
+        book = CurrentVersion()
         tree = Tree(Root('x'), {})
         highest = 0
         for number in numbers:
             offered = TreeVersion(number, tree, KeyTable(tree), '')
-            assert book.offer(offered) == (number > highest)
+            assert book.adopt_if_newer(offered) == (number > highest)
             highest = max(highest, number)
             assert book.number == highest
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -6,7 +6,7 @@
 
 from siskinpass.codes import Code
 from siskinpass.exceptions import BackendError
-from siskinpass.request.stream import DONE, TokenTap
+from siskinpass.request.stream import DONE_EVENT, TokenStreamParser
 
 MARKER = b'"id":"r1"'
 
@@ -32,11 +32,13 @@
     @given(st.integers(1, 8), st.lists(st.integers(0, 400), max_size=12))
     def test_any_split_passes_the_same_bytes(self, count, cuts):
         """However the network cuts it, the caller gets the same stream."""
-        wire = b''.join(event(index) for index in range(count)) + DONE
-        tap = TokenTap(MARKER)
-        passed = b''.join(tap.feed(piece, 1.0) for piece in split(wire, cuts))
+        wire = b''.join(event(index) for index in range(count)) + DONE_EVENT
+        parser = TokenStreamParser(MARKER)
+        passed = b''.join(
+            parser.feed(piece, 1.0) for piece in split(wire, cuts)
+        )
         assert passed == wire
-        assert (tap.tokens, tap.done) == (count, True)
+        assert (parser.tokens, parser.done) == (count, True)
 
     @given(
         st.integers(1, 6),
@@ -45,14 +47,18 @@
     )
     def test_resume_loses_and_doubles_nothing(self, count, broken, cuts):
         """A stream that broke off anywhere goes on at the next token."""
-        wire = b''.join(event(index) for index in range(count)) + DONE
-        tap = TokenTap(MARKER)
+        wire = b''.join(event(index) for index in range(count)) + DONE_EVENT
+        parser = TokenStreamParser(MARKER)
         first = wire[: broken % len(wire)]
-        passed = b''.join(tap.feed(piece, 1.0) for piece in split(first, cuts))
-        tap.drop_partial()
-        if not tap.done:
-            rest = b''.join(event(index) for index in range(tap.tokens, count))
-            passed += tap.feed(rest + DONE, 2.0)
+        passed = b''.join(
+            parser.feed(piece, 1.0) for piece in split(first, cuts)
+        )
+        parser.drop_partial()
+        if not parser.done:
+            rest = b''.join(
+                event(index) for index in range(parser.tokens, count)
+            )
+            passed += parser.feed(rest + DONE_EVENT, 2.0)
         assert passed == wire
 
     @pytest.mark.parametrize(
@@ -60,21 +66,21 @@
         [
             event(0, 'other'),
             event(0) + event(1, 'other'),
-            event(0) + DONE + event(1),
-            DONE + DONE,
+            event(0) + DONE_EVENT + event(1),
+            DONE_EVENT + DONE_EVENT,
         ],
     )
     def test_crossed_answer_is_not_passed_on(self, wire):
         """Bytes for another request never reach the caller."""
-        tap = TokenTap(MARKER)
+        parser = TokenStreamParser(MARKER)
         with pytest.raises(BackendError) as caught:
-            tap.feed(wire, 1.0)
-            tap.feed(event(2), 1.0)
+            parser.feed(wire, 1.0)
+            parser.feed(event(2), 1.0)
         assert caught.value.code is Code.answer_crossed
 
     def test_event_without_end_is_bounded(self):
         """An endless event does not fill the memory."""
-        tap = TokenTap(MARKER)
+        parser = TokenStreamParser(MARKER)
         with pytest.raises(BackendError):
             for _ in range(100):
-                tap.feed(b'x' * 10_000, 1.0)
+                parser.feed(b'x' * 10_000, 1.0)
