--- a/src/siskinpass/request/__init__.py
+++ b/src/siskinpass/request/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives for one request."""
+"""Data types and rules that apply to a single request."""
--- a/src/siskinpass/request/answer.py
+++ b/src/siskinpass/request/answer.py
@@ -1,4 +1,4 @@
-"""Write the answers that the router gives in its own name."""
+"""Build the HTTP responses that the router itself gives."""
 
 from http import HTTPStatus
 
@@ -10,7 +10,7 @@
 
 
 def status_text(status: int) -> str:
-    """Return the status line's text for a status."""
+    """Return the reason phrase of a status, ``Status`` where it is unknown."""
     try:
         return HTTPStatus(status).phrase
     except ValueError:
@@ -23,7 +23,10 @@
     retry_after_ms: int = 0,
     ran: Ran | None = None,
 ) -> bytes:
-    """Return the JSON body of a numbered error."""
+    """Return the JSON body of an error response.
+
+    The parameters are those of ``error_answer``.
+    """
     meaning = MEANINGS[code]
     error = {
         'code': int(code),
@@ -44,12 +47,13 @@
     ran: Ran | None = None,
     address: str = '',
 ) -> bytes:
-    """Return a numbered error as it goes over the wire.
+    """Return a complete error response, after which the connection closes.
 
-    The connection is closed after it.
-
-    :param retry_after_ms: when to come back, 0 where that does not help.
-    :param ran: goes before what the table of codes says.
+    :param code: result code, which also selects the HTTP status.
+    :param detail: message for the caller instead of the text of the code.
+    :param retry_after_ms: when to retry, 0 where that does not help.
+    :param ran: whether a backend server ran the request; overrides what the
+        table of codes states.
     :param address: another instance to use, empty for none.
     """
     meaning = MEANINGS[code]
@@ -74,7 +78,10 @@
     *,
     keep_alive: bool,
 ) -> bytes:
-    """Return an answer with a known length as it goes over the wire."""
+    """Return a complete response, head and body, of known length.
+
+    :param headers: additional headers; they override the standard ones.
+    """
     head = {
         'Content-Type': 'application/json',
         'Content-Length': str(len(body)),
@@ -85,7 +92,10 @@
 
 
 def stream_head(headers: dict[str, str], *, keep_alive: bool) -> bytes:
-    """Return the head of a streamed answer."""
+    """Return the head of a streamed response, sent in chunks.
+
+    :param headers: additional headers; they override the standard ones.
+    """
     head = {
         'Content-Type': 'text/event-stream',
         'Cache-Control': 'no-cache',
@@ -97,7 +107,7 @@
 
 
 def head_bytes(status: int, headers: dict[str, str]) -> bytes:
-    """Return a response head as it goes over the wire."""
+    """Return a serialized response head, with the empty line that ends it."""
     lines = [f'HTTP/1.1 {int(status)} {status_text(status)}']
     lines.extend(f'{name}: {text}' for name, text in headers.items())
     return '\r\n'.join((*lines, '', '')).encode('latin-1')
--- a/src/siskinpass/request/call.py
+++ b/src/siskinpass/request/call.py
@@ -1,7 +1,7 @@
-"""Check one request against the tree and turn it into a call.
+"""Validate a request against the settings tree.
 
-Pure logic: head, body and the version in force go in, a call or a numbered
-error comes out.
+Pure logic without I/O: from the head, the body and the tree version in force it
+makes a checked call or raises an error with a result code.
 """
 
 import hashlib
@@ -35,16 +35,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Hold one checked request.
+    """A request that passed validation.
 
     :param node: path of its class, ``workspace/class``.
-    :param fields: the JSON body of a call to an engine, empty otherwise.
+    :param class_settings: settings in force for its class.
+    :param pool: backend servers that serve its class.
+    :param path: path of the request.
+    :param fields: parsed JSON body of a call to an engine, empty otherwise.
     :param body: the body as the caller sent it.
     :param service_path: path at a plain service, empty for an engine.
-    :param stream: whether the caller wants the answer as it comes.
+    :param stream: whether the caller wants a streamed response.
     :param repeatable: whether the call may run more than once.
     :param idempotency_key: the caller's key, empty where there is none.
-    :param prefix: hash of the prompt's first part, 0 where it is short.
+    :param prefix: hash of the start of the prompt, 0 where the prompt is
+        short.
     """
 
     workspace: str
@@ -62,7 +66,7 @@
 
     @property
     def digest(self) -> str:
-        """Return a hash that tells this request from another."""
+        """Return a hash of path and body that identifies the request."""
         text = f'{self.path}\n'.encode() + self.body
         return hashlib.blake2b(text, digest_size=DIGEST_BYTES).hexdigest()
 
@@ -72,9 +76,10 @@
     body: bytes,
     version: TreeVersion,
 ) -> Call:
-    """Check a request.
+    """Return the checked call of a request.
 
-    :raises RequestError: with the code of what is wrong.
+    :raises RequestError: where the request is not valid, with the code of the
+        first fault found.
     """
     workspace, leaf = _identify(head, version)
     class_settings = version.tree.class_settings(workspace, leaf)
--- a/src/siskinpass/request/claim.py
+++ b/src/siskinpass/request/claim.py
@@ -1,6 +1,7 @@
-"""Decide who may run a request that must run at most once.
+"""Decide which of several attempts may run a request with an idempotency key.
 
-Pure logic over the claim object of one idempotency key.
+Pure logic without I/O, on the claim object that is stored for each key. A
+request that must not be repeated runs at most once.
 """
 
 import enum
@@ -15,7 +16,13 @@
 
 
 class ClaimState(enum.Enum):
-    """Tell how far a claimed request has come."""
+    """State of a claimed request.
+
+    ``open``: it may be running.
+    ``done``: it ran.
+    ``unknown``: it is not known whether it ran.
+    ``not_run``: it did not run.
+    """
 
     open = 'open'
     done = 'done'
@@ -25,13 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Hold the claim object of one idempotency key.
+    """Claim object of one idempotency key.
 
-    :param nonce: made by the writer, by which it knows its own write.
+    :param nonce: random text by which the writer recognizes its own write.
     :param digest: hash of the request that the key belongs to.
-    :param written_s: wall clock of the writer, for expiry only.
-    :param status: HTTP status of the stored answer, 0 where there is none.
-    :param body: the stored answer.
+    :param written_s: wall-clock time of the writer, used only for expiry.
+    :param status: HTTP status of the stored response, 0 where there is none.
+    :param body: body of the stored response.
     """
 
     nonce: str
@@ -42,19 +49,25 @@
     body: str = ''
 
     def dump(self) -> bytes:
-        """Return the claim as it is stored."""
+        """Return the claim in its stored form, as JSON."""
         return orjson.dumps({**asdict(self), 'state': self.state.value})
 
     @classmethod
     def load(cls, stored: bytes) -> 'Claim':
-        """Read a stored claim."""
+        """Return the claim that is stored in JSON."""
         fields: dict[str, Any] = orjson.loads(stored)
         fields['state'] = ClaimState(fields['state'])
         return cls(**fields)
 
 
 class ClaimAction(enum.Enum):
-    """Tell what to do with a request whose key has a claim."""
+    """What to do with a request whose key already has a claim.
+
+    ``run``: run it; the claim is its own.
+    ``take_over``: replace the claim, whose request did not run, and run it.
+    ``replay``: answer with the stored response.
+    ``refuse``: answer with an error.
+    """
 
     run = 'run'
     take_over = 'take_over'
@@ -64,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimDecision:
-    """Hold a verdict and, for a refusal, its code."""
+    """An action and, for a refusal, its code."""
 
     action: ClaimAction
     code: Code | None = None
@@ -77,12 +90,14 @@
     age_s: float,
     open_s: float,
 ) -> ClaimDecision:
-    """Judge a request by the claim that its key already has.
+    """Decide about a request by the claim that its key already has.
 
-    :param nonce: nonce of this request's own write.
+    :param found: the claim.
+    :param nonce: nonce with which this request writes claims.
     :param digest: hash of this request.
     :param age_s: age of the claim.
-    :param open_s: age up to which an open claim may still be running.
+    :param open_s: age up to which the request of an open claim may still be
+        running; beyond it, its outcome is taken as unknown.
     """
     if found.digest != digest:
         return ClaimDecision(ClaimAction.refuse, Code.key_reused)
--- a/src/siskinpass/request/events.py
+++ b/src/siskinpass/request/events.py
@@ -1,7 +1,8 @@
-"""Follow the events of one stream, so that only whole ones are passed on.
+"""Incremental parser of event streams that passes on only complete events.
 
-Pure logic. A piece of an event is held back, so that a stream that breaks off
-can go on elsewhere after the last whole event.
+Pure logic without I/O. Partial events are buffered, so that a stream that
+breaks off can be continued from another backend server after the last complete
+event.
 """
 
 from siskinpass.codes import Code
@@ -10,18 +11,20 @@
 EVENT_END = b'\n\n'
 ID_FIELD = b'id:'
 MS_PER_S = 1000
-MAX_BUFFERED_BYTES = (
-    262_144  # far above any event; bounds the memory of a stream
-)
+# Far above the size of any event; limits the memory used per stream.
+MAX_BUFFERED_BYTES = 262_144
 
 
 class EventStreamParser:
-    """Cut a stream into whole events and keep the id of the last."""
+    """Splits one stream into complete events and remembers the last id.
+
+    It also measures the time to the first event and the longest pause.
+    """
 
     def __init__(self, began_s: float = 0.0) -> None:
         """Start before the first event.
 
-        :param began_s: when the request arrived.
+        :param began_s: the clock in seconds when the request arrived.
         """
         self._began_s = began_s
         self._last_s = 0.0
@@ -33,17 +36,17 @@
 
     @property
     def last_id(self) -> str:
-        """Return the id of the last whole event, empty before the first."""
+        """Return the last id among complete events, empty before the first."""
         return self._last_id
 
     @property
     def count(self) -> int:
-        """Return how many whole events were passed on."""
+        """Return the number of complete events passed on."""
         return self._count
 
     @property
     def is_whole(self) -> bool:
-        """Return whether no piece of an event is held back."""
+        """Return whether no partial event is buffered."""
         return not self._buffer
 
     @property
@@ -53,12 +56,13 @@
 
     @property
     def pause_ms(self) -> int:
-        """Return the longest time between events, in ms."""
+        """Return the longest pause between events, in ms."""
         return int(self._pause_s * MS_PER_S)
 
     def feed(self, piece: bytes, now_s: float = 0.0) -> bytes:
-        """Take in bytes and return the whole events among them.
+        """Parse bytes and return the events that are now complete.
 
+        :param piece: bytes from a backend server, cut anywhere.
         :param now_s: the clock in seconds.
         :raises BackendError: where an event is too large.
         """
@@ -76,7 +80,7 @@
         return whole
 
     def drop_partial(self) -> None:
-        """Forget a piece of an event that broke off."""
+        """Discard the buffered part of an event that broke off."""
         self._buffer = b''
 
     def _keep_partial(self, piece: bytes) -> None:
--- a/src/siskinpass/request/head.py
+++ b/src/siskinpass/request/head.py
@@ -1,4 +1,4 @@
-"""Define what is known of a request once its head has been parsed."""
+"""Results of parsing the head of a request."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,11 +6,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """Hold the parsed head of one request.
+    """Parsed head of one request.
 
-    :param method: upper-case method.
+    :param method: method in upper case.
     :param path: decoded path.
-    :param headers: header texts by lower-case name.
+    :param headers: header values by lower-case name.
     :param length: announced length of the body in bytes.
     :param keep_alive: whether the connection stays open afterwards.
     """
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PageAnswer:
-    """Hold a whole answer that a page handler made.
+    """Complete response that a page handler produced.
 
-    :param wire: the answer as it goes over the connection.
+    :param wire: serialized response, head and body.
     :param length: length of the request's body in bytes.
     :param keep_alive: whether the connection stays open afterwards.
     """
@@ -38,6 +38,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyNeeded:
-    """Ask for the body before a page handler can run."""
+    """Signals that a page handler needs the body of the request to run.
+
+    :param length: length of the body in bytes.
+    """
 
     length: int
--- a/src/siskinpass/request/inbound.py
+++ b/src/siskinpass/request/inbound.py
@@ -1,4 +1,4 @@
-"""Describe a caller's request and a backend server's answer, decoded."""
+"""Decoded forms of callers' requests and of backend servers' responses."""
 
 from dataclasses import dataclass, field
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WireRequest:
-    """Hold one whole request as it arrived.
+    """One complete HTTP request as it arrived.
 
     :param target: path and query, unchanged.
-    :param headers: names and values in their order, as they were spelled.
-    :param keep_alive: whether the caller keeps the connection afterwards.
+    :param headers: names and values, with order and spelling unchanged.
+    :param keep_alive: whether the connection stays open afterwards.
     """
 
     method: bytes
@@ -29,9 +29,9 @@
         return self.target.partition(b'?')[0].decode('latin-1')
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first value of a header, or none.
+        """Return the first value of a header, or None where it is missing.
 
-        :param name: in lower case.
+        :param name: name of the header in lower case.
         """
         for spelled, text in self.headers:
             if spelled.lower() == name:
@@ -41,9 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """Name one part of a prompt.
+    """One part of a prompt, as stated by the caller.
 
-    :param key: the same for all requests that share this part.
+    :param key: name that is the same for all requests that share this part.
+    :param tokens: length of this part.
     """
 
     key: str
@@ -52,13 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """Describe the work that a request asks of a model engine.
-
-    :param parts: in the order of the prompt; the last belongs to the request
-        or its session.
-    :param tokens_in: length of the prompt.
-    :param max_tokens_out: most tokens that are generated.
-    :param tokens_out_hint: the caller's estimate, 0 where there is none.
+    """Work that a request requires of a model engine.
+
+    :param parts: parts in the order of the prompt; the last one belongs only
+        to this request or its session.
+    :param tokens_in: length of the prompt in tokens.
+    :param max_tokens_out: limit on the generated tokens.
+    :param tokens_out_hint: the caller's estimate of the generated tokens, 0
+        where there is none.
     """
 
     parts: tuple[PromptPart, ...] = ()
@@ -68,7 +70,10 @@
 
     @property
     def tokens_out(self) -> int:
-        """Return the expected number of generated tokens."""
+        """Return the expected number of generated tokens.
+
+        This is the caller's estimate, or without one the limit.
+        """
         if self.tokens_out_hint:
             return min(self.tokens_out_hint, self.max_tokens_out)
         return self.max_tokens_out
@@ -81,15 +86,18 @@
 
 @dataclass(frozen=True, slots=True)
 class InboundRequest:
-    """Hold a caller's request, decoded.
+    """A caller's request with its headers decoded.
 
-    :param call_id: the caller's id of this attempt, empty where it has none.
-    :param caller_timeout_s: how long the caller waits, from arrival on,
-        0 where it does not say.
+    :param request: the request as it arrived.
+    :param call_id: the caller's id for this attempt, empty where it gave none.
+    :param caller_timeout_s: how long the caller waits, counted from arrival, 0
+        where it does not say.
     :param key: API key, empty where there is none.
-    :param last_event_id: last event that the caller has, empty for none.
-    :param headers: headers for the backend server, without those that
-        concern one connection or that only this system sets.
+    :param last_event_id: id of the last event that the caller has, empty for
+        none.
+    :param prompt: work for a model engine, empty where there is none.
+    :param headers: headers for the backend server, without hop-by-hop headers
+        and those that only the router sets.
     """
 
     request: WireRequest
@@ -104,13 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendContext:
-    """State what this system tells a backend server beside the request.
+    """Information that the router adds to a request for a backend server.
 
-    :param server: id of the server that must run it.
-    :param remaining_s: time that is left for the answer.
+    :param server: name of the server that must run the request.
+    :param remaining_s: time that remains for the response.
     :param workspace: name of the workspace, empty where none applies.
     :param urgency: 0 is the most urgent, 9 the least.
-    :param last_event_id: last event that was passed on, empty for none.
+    :param last_event_id: id of the last event that was passed on, empty for
+        none.
     """
 
     server: str
@@ -122,13 +131,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Hold the head of a backend server's answer, decoded.
+    """Decoded head of a backend server's response.
 
-    :param call_id: id of the request that is answered, empty where missing.
-    :param receipt: the server's receipt, empty where missing.
+    :param call_id: id of the request that it answers, empty where missing.
+    :param receipt: the server's seal, which every successful response must
+        carry; empty where missing.
     :param not_run: whether the server states that it did not run the request.
-    :param is_encoded: whether the body is compressed or otherwise changed.
-    :param idle_s: how long the server keeps an idle connection, 0 for unsaid.
+    :param is_encoded: whether the body is compressed or otherwise encoded.
+    :param idle_s: how long the server keeps an idle connection open, 0 where
+        it does not say.
     :param headers: headers to pass on to the caller.
     """
 
@@ -142,10 +153,10 @@
 
     @property
     def is_success(self) -> bool:
-        """Return whether the request succeeded."""
+        """Return whether the status is in the 2xx range."""
         return STATUS_OK <= self.status < STATUS_REDIRECT
 
     @property
     def implies_not_run(self) -> bool:
-        """Return whether callers take the status for "not run"."""
+        """Return whether callers take the status to mean "not run"."""
         return self.status in NOT_RUN_STATUSES
--- a/src/siskinpass/request/resend.py
+++ b/src/siskinpass/request/resend.py
@@ -1,7 +1,8 @@
-"""Decide what follows when an attempt on a backend server ended.
+"""Decide how to continue after an attempt on a backend server has ended.
 
-Pure logic. It answers for two promises under any load and fault: work that may
-not be repeated runs at most once, and "not run" is only said when it is true.
+Pure logic without I/O. It upholds two guarantees under any load and fault:
+work that must not be repeated runs at most once, and a caller is only told
+"not run" if that is certain.
 """
 
 import enum
@@ -11,13 +12,13 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """Tell how an attempt ended.
+    """How an attempt on a backend server ended.
 
     ``unsent``: no byte of the request reached a server.
     ``declined``: the server states that it did not run the request.
-    ``failed``: the server answered with a failure of its own, whole.
-    ``lost``: it is not known whether the request ran.
-    ``cut``: the answer broke off after a part of it was passed on.
+    ``failed``: the server sent a complete error response.
+    ``lost``: it is unknown whether the request ran.
+    ``cut``: the response broke off after part of it was passed on.
     """
 
     unsent = 'unsent'
@@ -28,14 +29,14 @@
 
 
 class NextStep(enum.Enum):
-    """Tell what to do next.
+    """What the router does after an attempt.
 
     ``resend``: send the request to another server.
-    ``resume``: go on with the stream at another server.
-    ``pass_on``: give the caller the server's own failure.
-    ``tell_not_run``: say that the request did not run, and when to return.
-    ``tell_unknown``: say that the outcome is not known.
-    ``cut``: close the caller's connection without the end mark.
+    ``resume``: continue the stream from another server.
+    ``pass_on``: pass the server's error response on to the caller.
+    ``tell_not_run``: answer that the request did not run, and when to retry.
+    ``tell_unknown``: answer that the outcome is unknown.
+    ``cut``: close the caller's connection without ending the stream properly.
     """
 
     resend = 'resend'
@@ -46,17 +47,17 @@
     cut = 'cut'
 
 
-# Sends that were not run cost the caller little; three cover a server that
-# left, one that is full and one whose address has a new owner.
+# A send that was not run costs the caller little time. Three of them cover a
+# server that is gone, one that is full and one whose address was reassigned.
 MAX_NOT_RUN_SENDS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class SendCounts:
-    """Count the sends of one request so far.
+    """Numbers of sends of one request so far.
 
     :param run: sends that a server ran or may have run.
-    :param not_run: sends that surely were not run.
+    :param not_run: sends that certainly were not run.
     """
 
     run: int = 0
@@ -66,7 +67,11 @@
 def decide_next_step(
     route: Route, ending: AttemptOutcome, sends: SendCounts
 ) -> NextStep:
-    """Return the next step, were there time and budget for another send."""
+    """Return the next step, assuming time and budget for another send.
+
+    :param ending: how the last attempt ended.
+    :param sends: all sends so far, the last attempt included.
+    """
     if ending in {AttemptOutcome.unsent, AttemptOutcome.declined}:
         if sends.not_run < MAX_NOT_RUN_SENDS:
             return NextStep.resend
@@ -84,8 +89,9 @@
 
 
 def final_step(ending: AttemptOutcome, *, has_run: bool) -> NextStep:
-    """Return how to end a request that is not sent again.
+    """Return the step that ends a request without another send.
 
+    :param ending: how the last attempt ended.
     :param has_run: whether this or an earlier send may have run.
     """
     if ending is AttemptOutcome.cut:
--- a/src/siskinpass/request/retry_window.py
+++ b/src/siskinpass/request/retry_window.py
@@ -1,27 +1,29 @@
-"""Bound the sends beyond the first over all instances.
+"""Retry budget over a sliding window, divided among all instances.
 
-Pure logic. The operator bounds them over a sliding window and all instances
-together; each instance keeps to its part without asking the others, so that
-the bound holds also while they cannot hear each other.
+Pure logic without I/O. The operator limits the retries of all instances
+together, that is, the sends beyond the first of each request. Each instance
+keeps to its own part without communication, so that the limit also holds
+during a network partition.
 """
 
 from collections import deque
 
-# Windows slide differently at each instance; this part of the bound is used.
+# Only this fraction of the limit is used, because the windows of the instances
+# do not slide in step.
 USED_FRACTION = 0.8
 
 
 class RetryWindow:
-    """Hold one instance's part of the budget of one service.
+    """One instance's part of the retry budget of one service.
 
-    :param ratio: sends beyond the first for each request.
-    :param slack: sends beyond the first that are always allowed, over all
-        instances.
+    :param ratio: retries allowed for each request in the window.
+    :param slack: retries that are always allowed in a window, over all
+        instances together.
     :param window_s: length of the window.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
-        """Start with an unused window."""
+        """Start with an empty window."""
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
@@ -29,13 +31,14 @@
         self._spent: deque[float] = deque()
 
     def note_request(self, now_s: float) -> None:
-        """Count one request of a caller."""
+        """Count one request of a caller, which adds to the budget."""
         self._requests.append(now_s)
 
     def spend(self, now_s: float, instances: int) -> bool:
-        """Take one send from the budget, and tell whether there was one.
+        """Take one retry from the budget if it allows one.
 
-        :param instances: instances that share the slack.
+        :param instances: number of instances that share the slack.
+        :returns: whether the retry is allowed.
         """
         first_s = now_s - self._window_s
         for times in (self._requests, self._spent):
--- a/src/siskinpass/request/stream.py
+++ b/src/siskinpass/request/stream.py
@@ -1,7 +1,8 @@
-"""Follow the events of one stream, so that it can be checked and resumed.
+"""Incremental parser of token streams, so that they are checked and resumable.
 
-Pure logic. Only whole events are passed on; a piece of one is held back, so
-that a stream that breaks off can go on elsewhere at the next token.
+Pure logic without I/O. Only complete events are passed on and partial ones are
+buffered, so that a stream that breaks off can be continued from another
+backend server at the next token.
 """
 
 from siskinpass.codes import Code
@@ -13,12 +14,12 @@
 
 
 class TokenStreamParser:
-    """Count the tokens of one stream and check whom they are for."""
+    """Counts the tokens of one stream and checks that they belong to it."""
 
     def __init__(self, marker: bytes) -> None:
         """Start before the first token.
 
-        :param marker: bytes that each event of this request must hold.
+        :param marker: bytes that each event of this request must contain.
         """
         self._marker = marker
         self._buffer = b''
@@ -29,29 +30,32 @@
 
     @property
     def tokens(self) -> int:
-        """Return how many tokens were passed on, over all attempts."""
+        """Return the number of tokens passed on, over all attempts."""
         return self._tokens
 
     @property
     def done(self) -> bool:
-        """Return whether the end marker came."""
+        """Return whether the end marker ``[DONE]`` has arrived."""
         return self._done
 
     @property
     def first_s(self) -> float:
-        """Return when the first token came, 0 before it."""
+        """Return the time at which the first token arrived, 0 before it."""
         return self._first_s
 
     @property
     def last_s(self) -> float:
-        """Return when the latest token came, 0 before the first."""
+        """Return the time of the latest token, 0 before the first."""
         return self._last_s
 
     def feed(self, piece: bytes, now_s: float) -> bytes:
-        """Take in bytes of a backend server and return those to pass on.
+        """Parse bytes from a backend server and return those to pass on.
 
-        :raises BackendError: where an event is for another request, or
-            where bytes follow the end marker.
+        :param piece: the bytes, cut anywhere.
+        :param now_s: the clock in seconds.
+        :returns: the events that are now complete, empty for none.
+        :raises BackendError: where an event belongs to another request, where
+            an event follows the end marker, or where one is too large.
         """
         whole = self._whole_events(piece)
         if not whole:
@@ -72,7 +76,7 @@
         return whole
 
     def drop_partial(self) -> None:
-        """Forget a piece of an event that broke off."""
+        """Discard the buffered part of an event that broke off."""
         self._buffer = b''
 
     def _whole_events(self, piece: bytes) -> bytes:
--- a/src/siskinpass/request/ticket.py
+++ b/src/siskinpass/request/ticket.py
@@ -1,7 +1,9 @@
-"""Define the messages between an entry instance and a broker.
+"""Events and commands exchanged between entry instances and a broker.
 
-All times are seconds of the receiver's own monotonic clock; what crosses a
-process is an age or a remaining time, never a clock reading.
+An entry instance holds the connection of a caller; the broker of a group of
+backend servers decides which request gets which slot. All times are seconds
+of the receiver's own monotonic clock. Messages between processes carry an age
+or a remaining time, never a clock reading.
 """
 
 from collections.abc import Mapping
@@ -13,9 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPiece:
-    """Name one part of a prompt.
+    """One part of a prompt, as used to predict hits in the KV cache.
 
-    :param key: the same for all prompts that share this part.
+    :param key: hash that is the same for all prompts that share this part.
+    :param tokens: length of this part.
     """
 
     key: int
@@ -24,25 +27,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """Ask for one slot on a backend server.
+    """A request's place in the queue for one slot on a backend server.
 
-    :param ticket_id: unique over all instances and incarnations.
+    :param ticket_id: unique over all instances and their restarts.
     :param entry: instance that holds the caller's connection.
-    :param pool: backend servers that can serve the request.
-    :param node: path of the request class in the tree.
+    :param pool: name of the pool whose backend servers can serve the request.
+    :param node: path of the request class in the settings tree.
     :param tier: priority, 0 is the most urgent.
     :param opened_s: when the request arrived.
     :param target_s: latency target from arrival to first token.
     :param max_wait_s: longest wait before the request is refused.
     :param share: fraction of freed slots guaranteed to the tier.
-    :param prefix: hash of the prompt's first part, 0 where unknown.
-    :param pausable: whether the stream may be cancelled and resumed.
+    :param prefix: hash of the start of the prompt, 0 where unknown.
+    :param pausable: whether the stream may be cancelled and resumed later.
     :param resumed: whether some tokens were already delivered.
-    :param avoid: backend server that just failed for this request.
-    :param token_s: target of the mean time between tokens, 0 for none.
-    :param pieces: parts of the prompt, each sharable with those before it.
-    :param tokens_in: length of the prompt.
-    :param is_tight: whether the stream needs servers without long prompts.
+    :param avoid: backend server that just failed for this request, empty for
+        none.
+    :param token_s: target for the mean time between tokens, 0 for none.
+    :param pieces: consecutive parts of the prompt; other prompts can share a
+        part only together with all the parts before it.
+    :param tokens_in: length of the prompt in tokens.
+    :param is_tight: whether the stream allows only short pauses between
+        tokens and so must not run beside the prefill of long prompts.
     """
 
     ticket_id: str
@@ -65,25 +71,24 @@
 
     @property
     def due_s(self) -> float:
-        """Return when the first token is due."""
+        """Return the time at which the first token is due."""
         return self.opened_s + self.target_s
 
     @property
     def expires_s(self) -> float:
-        """Return when the request is refused if it still waits."""
+        """Return the time at which the request is refused if still queued."""
         return self.opened_s + self.max_wait_s
 
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """Describe one backend server as the instance list tells it.
+    """One backend server as listed by service discovery.
 
-    :param name: name of the backend server.
     :param address: ``ip:port``.
     :param pool: pool that it belongs to.
     :param zone: availability zone.
-    :param leaving: whether it must get nothing new.
-    :param slots: requests that it runs at once, 0 where that is not known.
+    :param leaving: whether it is draining and must get no new requests.
+    :param slots: requests that it runs concurrently, 0 where unknown.
     :param incarnation: start of its process in Unix ms, 0 where unknown.
     """
 
@@ -98,25 +103,27 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketOpened:
-    """A request waits for a slot."""
+    """A request starts to wait for a slot."""
 
     ticket: Ticket
 
 
 @dataclass(frozen=True, slots=True)
 class TicketWithdrawn:
-    """The caller of a waiting request went away."""
+    """The caller of a waiting request disconnected."""
 
     ticket_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class GrantReleased:
-    """A slot is free again.
+    """A granted slot was released.
 
     :param ticket_id: ticket that held the slot.
-    :param failed: whether the backend server failed the request.
-    :param server_error: whether it answered, but with an error of its own.
+    :param failed: whether the backend server could not be reached or broke off
+        the answer.
+    :param server_error: whether the server answered, but with an error of its
+        own.
     """
 
     ticket_id: str
@@ -126,7 +133,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantReported:
-    """An entry tells a new broker of a slot that it holds."""
+    """An entry instance reports a slot that it holds to a new broker.
+
+    :param server: name of the backend server.
+    """
 
     ticket: Ticket
     server: str
@@ -134,12 +144,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TokensObserved:
-    """An entry saw tokens of a backend server.
+    """An entry instance measured the token times of a backend server.
 
     :param server: name of the backend server.
-    :param token_s: mean time between tokens in seconds.
-    :param first_s: time to the first token, 0 where none was seen.
-    :param count: tokens that the mean is made of.
+    :param token_s: mean time between tokens.
+    :param first_s: time to the first token, 0 where none was measured.
+    :param count: number of tokens over which the mean was taken.
     """
 
     server: str
@@ -150,19 +160,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefillCompleted:
-    """The first token of a granted ticket came; its prompt was read."""
+    """The first token for a granted ticket arrived, so its prefill is over."""
 
     ticket_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """Sum up what one or more instances run on a backend server.
+    """Load that one or more instances put on a backend server.
 
-    :param running: requests.
-    :param tight: those among them that are streams with a tight pause.
-    :param unread: prompt tokens that are placed there and not read yet, by
-        tier from the most urgent on.
+    :param running: number of running requests.
+    :param tight: how many of them are streams that allow only short pauses.
+    :param unread: prompt tokens placed there whose prefill is not over yet,
+        by tier, the most urgent first.
     """
 
     running: int = 0
@@ -179,7 +189,7 @@
         )
 
     def __neg__(self) -> 'ServerLoad':
-        """Return the load that takes this one off."""
+        """Return the negated load, which subtracts this one when added."""
         return ServerLoad(
             -self.running,
             -self.tight,
@@ -187,13 +197,16 @@
         )
 
     def unread_at_or_above(self, tier: int) -> int:
-        """Return the unread tokens of a tier and those above it."""
+        """Return the tokens awaiting prefill in a tier and more urgent ones."""
         return sum(self.unread[: tier + 1])
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLoadsReported:
-    """The other instances told their loads; servers left out have none."""
+    """Load that the other instances together report for each server.
+
+    Servers that are not listed have no load from them.
+    """
 
     loads: Mapping[str, ServerLoad]
 
@@ -202,9 +215,10 @@
 class PromptPlaced:
     """Another instance placed a prompt on a server.
 
-    :param unread: tokens of it that the server had yet to read.
+    :param pieces: parts of the prompt, which the server will have cached.
+    :param unread: tokens that the server still had to prefill at that time.
     :param tier: tier of its request.
-    :param is_tight: whether its stream has a tight pause.
+    :param is_tight: whether its stream allows only short pauses.
     """
 
     server: str
@@ -216,24 +230,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ServersListed:
-    """The backend servers of the group changed."""
+    """The list of the group's backend servers changed.
+
+    :param servers: the complete new list.
+    """
 
     servers: tuple[ServerView, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class EntryLost:
-    """An entry instance died; its tickets and grants are void."""
+    """An entry instance died, which voids its tickets and grants."""
 
     entry: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClockTicked:
-    """Time passed."""
+    """A periodic tick, on which time-outs are checked."""
 
 
-# Events that change only what the servers are known to carry.
+# Events that change only what is known about the load of the servers.
 LoadEvent = (
     TokensObserved
     | PrefillCompleted
@@ -257,7 +274,7 @@
     """A ticket may use one slot of a backend server.
 
     :param pieces: parts of its prompt, which the server will have cached.
-    :param unread: tokens of it that the server has to read.
+    :param unread: prompt tokens that the server has to prefill.
     """
 
     ticket_id: str
@@ -269,9 +286,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A ticket is given up on; the request was not run by this grant.
+    """A ticket was dropped from the queue; no server ran the request for it.
 
-    :param retry_after_ms: when the caller should come back.
+    :param code: reason of the refusal.
+    :param retry_after_ms: time after which the caller should retry.
     """
 
     ticket_id: str
@@ -282,7 +300,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Paused:
-    """A running stream has to make room for an upper tier."""
+    """A running stream must release its slot to a more urgent tier."""
 
     ticket_id: str
     entry: str
@@ -290,7 +308,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Moved:
-    """A running stream has to leave a backend server that became slow."""
+    """A running stream must leave a backend server that became slow."""
 
     ticket_id: str
     entry: str
--- a/src/siskinpass/request/ticket_queue.py
+++ b/src/siskinpass/request/ticket_queue.py
@@ -1,10 +1,11 @@
-"""Keep waiting tickets in the order in which they are served.
-
-Pure logic. Between tiers the more urgent tier goes first, and a guaranteed
-share of the freed slots (deficit round robin) keeps every tier moving. Within
-a tier, streams that have begun go first, then the tickets that can still meet
-their target, the earliest due first, then those that are late already: under
-overload a late ticket does not make the next one late too.
+"""Priority queue of the tickets that wait for a slot.
+
+Pure logic without I/O. The more urgent tier goes first; a guaranteed share of
+the freed slots, accounted by deficit round robin, prevents starvation of the
+lower tiers. Within a tier, streams that have already delivered tokens go
+first, then the tickets that can still meet their target, earliest due time
+first, then those that are already late. Late tickets go last so that under
+overload they do not make the following ones late too.
 """
 
 from collections.abc import Iterator
@@ -18,32 +19,39 @@
 
 
 class TierQueue:
-    """Hold the waiting tickets of one tier."""
+    """Waiting tickets of one tier.
+
+    ``share`` is the fraction of freed slots guaranteed to the tier, ``credit``
+    the number of slots that it is owed under that guarantee.
+    """
 
     def __init__(self) -> None:
-        """Start empty and without credit."""
+        """Start without tickets and credit."""
         self._on_time: SortedDict = SortedDict()
         self._late: SortedDict = SortedDict()
         self.share = 0.0
         self.credit = 0.0
 
     def __len__(self) -> int:
-        """Return how many tickets wait."""
+        """Return the number of waiting tickets."""
         return len(self._on_time) + len(self._late)
 
     def add(self, ticket: Ticket) -> None:
-        """Add a ticket."""
+        """Add a ticket and take over the share that it states."""
         self._on_time[_rank(ticket)] = ticket
         self.share = ticket.share
 
     def discard(self, ticket: Ticket) -> None:
-        """Remove a ticket."""
+        """Remove a ticket if it is queued."""
         rank = _rank(ticket)
         if self._on_time.pop(rank, None) is None:
             self._late.pop(rank, None)
 
     def demote_late(self, due_s: float) -> None:
-        """Set the tickets back whose first token was due before a time."""
+        """Move tickets due before ``due_s`` behind those still on time.
+
+        Tickets of resumed streams keep their place.
+        """
         while self._on_time:
             rank, ticket = self._on_time.peekitem(self._first_unstarted())
             if ticket.resumed or ticket.due_s >= due_s:
@@ -51,45 +59,54 @@
             self._late[rank] = self._on_time.pop(rank)
 
     def first(self) -> Ticket:
-        """Return the ticket to serve next."""
+        """Return the ticket to serve next.
+
+        :raises IndexError: where none waits.
+        """
         queue = self._on_time or self._late
         return queue.peekitem(0)[1]
 
     def next_tickets(self, count: int) -> list[Ticket]:
-        """Return the tickets to serve next, in order."""
+        """Return up to ``count`` tickets in the order of service."""
         ordered = chain(self._on_time.values(), self._late.values())
         return list(islice(ordered, count))
 
     def last(self) -> Ticket:
-        """Return the ticket to serve last."""
+        """Return the ticket to serve last.
+
+        :raises IndexError: where none waits.
+        """
         queue = self._late or self._on_time
         return queue.peekitem(-1)[1]
 
     def _first_unstarted(self) -> int:
-        """Return the place of the first ticket whose stream has not begun."""
+        """Return the index of the first ticket whose stream has not begun.
+
+        Where all have begun, this is the index of the last ticket.
+        """
         index = self._on_time.bisect_left(_FIRST_UNSTARTED_RANK)
         return min(index, len(self._on_time) - 1)
 
 
 class WaitingTickets:
-    """Hold the waiting tickets of all tiers."""
+    """Waiting tickets of all tiers."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without tickets."""
         self._tiers: SortedDict = SortedDict()
         self._tickets: dict[str, Ticket] = {}
         self._unstarted = 0
 
     def __len__(self) -> int:
-        """Return how many tickets wait."""
+        """Return the number of waiting tickets."""
         return len(self._tickets)
 
     def __contains__(self, ticket_id: str) -> bool:
-        """Tell whether a ticket waits."""
+        """Return whether a ticket is waiting."""
         return ticket_id in self._tickets
 
     def __iter__(self) -> Iterator[Ticket]:
-        """Iterate over the waiting tickets in no useful order."""
+        """Iterate over a copy of the waiting tickets, in no useful order."""
         return iter(tuple(self._tickets.values()))
 
     @property
@@ -99,11 +116,11 @@
 
     @property
     def unstarted(self) -> int:
-        """Return how many tickets wait whose stream has not begun."""
+        """Return the number of waiting tickets whose stream has not begun."""
         return self._unstarted
 
     def add(self, ticket: Ticket) -> None:
-        """Add a ticket."""
+        """Add a ticket to the queue of its tier."""
         self._tickets[ticket.ticket_id] = ticket
         self._unstarted += not ticket.resumed
         queue = self._tiers.get(ticket.tier)
@@ -113,7 +130,7 @@
         queue.add(ticket)
 
     def pop(self, ticket_id: str) -> Ticket | None:
-        """Remove a ticket and return it, or none where it is unknown."""
+        """Remove and return a ticket, or return None where it is unknown."""
         ticket = self._tickets.pop(ticket_id, None)
         if ticket is not None:
             self._unstarted -= not ticket.resumed
@@ -121,43 +138,51 @@
         return ticket
 
     def demote_late(self, due_s: float) -> None:
-        """Set the tickets back whose first token was due before a time."""
+        """Move tickets due before ``due_s`` behind those of their tier."""
         for queue in self._tiers.values():
             queue.demote_late(due_s)
 
     def first(self, tier: int) -> Ticket:
-        """Return the next ticket of a tier."""
+        """Return the next ticket of a tier that has one waiting."""
         return self._tiers[tier].first()
 
     def next_tickets(self, tier: int, count: int) -> list[Ticket]:
-        """Return the next tickets of a tier, in order."""
+        """Return up to ``count`` tickets of a tier in the order of service."""
         queue = self._tiers.get(tier)
         return queue.next_tickets(count) if queue else []
 
     def lowest(self) -> Ticket | None:
-        """Return the ticket to shed first, never a stream that has begun."""
+        """Return the ticket to shed first, or None where there is none.
+
+        Tickets of streams that have already delivered tokens are never shed.
+        """
         for tier in reversed(self.tiers):
-            # Within a tier the streams that have begun stand first.
+            # Streams that have begun are at the front of their tier.
             last = self._tiers[tier].last()
             if not last.resumed:
                 return last
         return None
 
     def count_at_or_above(self, tier: int) -> int:
-        """Return how many tickets wait in this tier and those above."""
+        """Return the number waiting in this tier and more urgent ones."""
         return sum(
             len(queue) for other, queue in self._tiers.items() if other <= tier
         )
 
     def tier_with_credit(self) -> int | None:
-        """Return a lower tier whose guaranteed share is due, or none."""
+        """Return the least urgent tier that is owed a slot, or None."""
         for tier in reversed(self.tiers):
             if self._tiers[tier].credit >= 1:
                 return tier
         return None
 
     def charge(self, granted: Ticket, *, owed: bool) -> None:
-        """Account for one granted slot."""
+        """Account for one granted slot.
+
+        :param owed: whether the slot was granted out of the tier's guaranteed
+            share. Otherwise the less urgent tiers that have tickets waiting
+            earn credit, and tiers without waiting tickets lose theirs.
+        """
         if owed:
             self._tiers[granted.tier].credit -= 1
             return
--- a/src/siskinpass/request/timeouts.py
+++ b/src/siskinpass/request/timeouts.py
@@ -1,8 +1,8 @@
-"""Decide when a backend server's silence ends an attempt.
+"""Time-outs of attempts on backend servers that stop responding.
 
-Pure logic, for servers that hang, lose answers or sit behind a connection that
-went silent. Only work that may be repeated is taken elsewhere: for the rest an
-answer that comes late is worth more than none.
+Pure logic without I/O, for servers that hang, lose responses or are behind a
+dead connection. Only work that may be repeated is moved to another server:
+for all other work a late response is worth more than none.
 """
 
 from dataclasses import dataclass
@@ -10,23 +10,23 @@
 from siskinpass.request.resend import SendCounts
 from siskinpass.version.routes import Route
 
-# An answer later than twice its target is late anyway; a second server still
-# brings it within the caller's time limit.
+# A response that takes more than twice its target is late anyway, and a second
+# server can still produce one within the caller's time limit.
 FIRST_FACTOR = 2.0
-# A prompt may wait for its turn at a busy engine; that is no silence.
+# A prompt may be queued at a busy engine, which is not a fault.
 STREAM_FIRST_FACTOR = 5.0
 MIN_FIRST_S = 0.4
-# A pause of four times what is on time is beyond what a busy engine shows.
+# Busy engines do not pause for as long as four times the pause target.
 PAUSE_FACTOR = 4.0
 MIN_PAUSE_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimeouts:
-    """Bound the silence of a server, in seconds.
+    """Longest times for which a server may send nothing.
 
-    :param first_s: longest time to the first sign of an answer.
-    :param pause_s: longest time between events.
+    :param first_s: time to the first sign of a response.
+    :param pause_s: time between events.
     """
 
     first_s: float
@@ -34,7 +34,10 @@
 
 
 def attempt_timeouts(route: Route, sends: SendCounts) -> AttemptTimeouts | None:
-    """Return the bounds of an attempt, none where silence must be waited out.
+    """Return the time-outs of an attempt, or None where none apply.
+
+    None apply where no further attempt is allowed, because the request must
+    not be repeated or this is its last attempt.
 
     :param sends: sends before this one.
     """
