--- a/src/siskinpass/version/__init__.py
+++ b/src/siskinpass/version/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives for one version of the settings tree."""
+"""Settings tree and routing document: parsing, versions and edits."""
--- a/src/siskinpass/version/document.py
+++ b/src/siskinpass/version/document.py
@@ -1,4 +1,4 @@
-"""Read a settings tree from YAML and name the place of every fault."""
+"""Parse a settings tree from YAML and report all faults with their places."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import asdict, dataclass
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Name one fault of a document.
+    """One fault of a document.
 
-    :param path: path of the node, as ``workspaces/one/classes/two``.
-    :param line: line in the document, counted from 1, 0 where unknown.
-    :param reason: what is wrong.
+    :param path: path of the node, such as ``workspaces/one/classes/two``.
+    :param line: line in the document, counted from 1; 0 where unknown.
+    :param reason: what is wrong, as the rest of a sentence about the node.
     """
 
     path: str
@@ -42,25 +42,26 @@
     reason: str
 
     def __str__(self) -> str:
-        """Return the fault in one line."""
+        """Return path, line and reason on one line."""
         return f'{self.path}, line {self.line}: {self.reason}'
 
 
 class TreeFaultsError(TreeError):
-    """Raise for a document with faults, all of them at once."""
+    """A document has faults; ``faults`` holds all of them."""
 
     def __init__(self, faults: tuple[Fault, ...]) -> None:
-        """Keep the faults beside their text."""
+        """Build the message from all faults."""
         text = '; '.join(str(fault) for fault in faults)
         super().__init__(Code.tree_invalid, text)
         self.faults = faults
 
 
 def parse_tree(text: str) -> Tree:
-    """Read a tree.
+    """Return the settings tree of a YAML document.
 
-    :param text: a YAML document.
-    :raises TreeFaultsError: with path, line and reason of every fault.
+    :param text: the document.
+    :raises TreeFaultsError: where the document has faults, with path, line and
+        reason of each.
     """
     try:
         node = yaml.compose(text, Loader=yaml.CSafeLoader)
@@ -78,12 +79,12 @@
 
 
 def dump_tree(tree: Tree) -> str:
-    """Write a tree as YAML."""
+    """Return a tree as a YAML document that ``parse_tree`` can read."""
     return yaml.safe_dump(tree_mapping(tree), sort_keys=True)
 
 
 def tree_mapping(tree: Tree) -> dict[str, Any]:
-    """Return a tree as plain mappings, ready for JSON or YAML."""
+    """Return a tree as plain mappings that serialize to JSON or YAML."""
     pools = {
         name: {**asdict(pool), 'models': list(pool.models)}
         for name, pool in tree.root.pools.items()
@@ -100,7 +101,7 @@
 
 
 def workspace_mapping(branch: Workspace) -> dict[str, Any]:
-    """Return a branch as plain mappings."""
+    """Return the branch of a workspace as plain mappings."""
     return {
         'settings': dict(branch.settings),
         'classes': {name: dict(leaf) for name, leaf in branch.classes.items()},
@@ -109,7 +110,7 @@
 
 
 class _Reader:
-    """Walk the nodes of one document and collect its faults."""
+    """Converts the nodes of one document and collects its faults."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
--- a/src/siskinpass/version/edit.py
+++ b/src/siskinpass/version/edit.py
@@ -1,7 +1,7 @@
-"""Compare trees node by node and rebase one edit on another.
+"""Diff settings trees and rebase one edit on another.
 
-Pure logic. A node is addressed by its path, as ``settings/tier``,
-``pools/lm/slots`` or ``workspaces/one/classes/two/tier``.
+Pure logic without I/O. A node is addressed by its path, such as
+``settings/tier``, ``pools/lm/slots`` or ``workspaces/one/classes/two/tier``.
 """
 
 from collections.abc import Mapping
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Describe one changed leaf.
+    """One changed leaf.
 
     :param path: path of the leaf.
-    :param old: what stood there, none where nothing did.
-    :param new: what stands there now, none where it was removed.
+    :param old: previous content, None where the leaf was added.
+    :param new: new content, None where the leaf was removed.
     """
 
     path: str
@@ -29,17 +29,23 @@
 
 
 class ConflictError(TreeError):
-    """Raise for an edit over a leaf that another edit changed."""
+    """An edit changes a leaf that another edit has changed meanwhile.
+
+    ``theirs`` holds the other edit's changes to the leaves in conflict.
+    """
 
     def __init__(self, theirs: tuple[Change, ...]) -> None:
-        """Keep the other operator's changes."""
+        """Build the message from the paths in conflict."""
         paths = ', '.join(change.path for change in theirs)
         super().__init__(Code.tree_conflict, f'changed meanwhile: {paths}')
         self.theirs = theirs
 
 
 def diff(old: Any, new: Any, path: str = '') -> list[Change]:
-    """Return what changed from one tree to another, by path."""
+    """Return the changes from one tree to another, sorted by path.
+
+    :param path: path of both trees, empty for the root.
+    """
     if old == new:
         return []
     if not (isinstance(old, Mapping) and isinstance(new, Mapping)):
@@ -62,6 +68,8 @@
 ) -> dict[str, Any]:
     """Apply the edit from ``base`` to ``mine`` on top of ``theirs``.
 
+    This is a three-way merge.
+
     :raises ConflictError: where both edits changed the same leaf, or one
         removed what the other changed.
     """
@@ -74,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _MergePosition:
-    """Hold where a merge stands and the clashes that it met."""
+    """Path that a merge has reached, and the conflicts found so far."""
 
     path: str
     conflicts: list[Change]
@@ -110,7 +118,10 @@
 
 
 def set_leaf(tree: dict[str, Any], path: str, leaf: Any) -> None:
-    """Set or, with none, remove the leaf at a path, in place."""
+    """Set the leaf at a path in place, or remove it where ``leaf`` is None.
+
+    Missing nodes on the path are created.
+    """
     parts = path.split('/')
     node = tree
     for part in parts[:-1]:
@@ -124,7 +135,8 @@
 def get_node(tree: Mapping[str, Any], path: str) -> Any:
     """Return the node at a path.
 
-    :raises TreeError: where there is none.
+    :param path: an empty path names the root.
+    :raises TreeError: where there is no such node.
     """
     node: Any = tree
     for part in filter(None, path.split('/')):
--- a/src/siskinpass/version/keys.py
+++ b/src/siskinpass/version/keys.py
@@ -1,4 +1,4 @@
-"""Hash and look up callers' API keys."""
+"""Creation, hashing and look-up of callers' API keys."""
 
 import hashlib
 import secrets
@@ -12,9 +12,11 @@
 
 
 def make_key(default_class: str = '') -> tuple[str, ApiKey]:
-    """Make a new API key.
+    """Return a new API key and its entry in the settings tree.
 
-    :returns: the key, to be given to its caller, and what the tree holds.
+    :param default_class: class of requests that name none.
+    :returns: the key, to be handed to the caller, and the entry with its
+        salted hash.
     """
     key = secrets.token_urlsafe(KEY_BYTES)
     salt = secrets.token_hex(SALT_BYTES)
@@ -24,7 +26,9 @@
 def hash_key(salt: str, key: str) -> str:
     """Return the salted hash of a key.
 
-    Keys have 256 random bits, so that one round of a keyed hash suffices.
+    Keys have 256 random bits, so one round of a salted hash is enough.
+
+    :param salt: the salt in hexadecimal.
     """
     digest = hashlib.blake2b(
         key.encode(), salt=bytes.fromhex(salt)[:SALT_BYTES]
@@ -33,14 +37,14 @@
 
 
 class KeyTable:
-    """Find the workspace of an API key in one version of the tree.
+    """Look-up of the workspace of an API key in one version of the tree.
 
-    Each key has a salt of its own, so a first look-up tries them all; what
-    was found is cached by the key's own hash.
+    Each key has its own salt, so the first look-up of a key has to hash it
+    with every salt; the results of the latest look-ups are cached.
     """
 
     def __init__(self, tree: Tree) -> None:
-        """Index the keys of a tree."""
+        """Collect the keys of all workspaces of a tree."""
         self._keys = [
             (key.salt, key.digest, name, key)
             for name, branch in tree.workspaces.items()
--- a/src/siskinpass/version/repository.py
+++ b/src/siskinpass/version/repository.py
@@ -1,10 +1,10 @@
-"""Keep the accepted versions of the tree in the object store.
+"""Versions of the settings tree in the object store.
 
-One head object names the version: its number, the hash of its manifest and
-the latest edits with the nonces of their writers. A manifest names the root
-and the branches by their hashes, and all of these are objects of their own.
-An edit is accepted by the conditional update of the head, and by nothing
-else.
+One head object names the version in force: its number, the hash of its
+manifest, and the latest edits with the nonces of their writers. The manifest
+lists the root and the workspace branches by their hashes. Manifest, root and
+branches are separate objects, stored under their hashes. Only the conditional
+update of the head accepts an edit.
 """
 
 import hashlib
@@ -40,7 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """Describe one accepted edit, as the history tells it."""
+    """One accepted edit, as recorded in the history.
+
+    :param number: number of the version that it made.
+    :param nonce: random text by which its writer recognizes it.
+    :param at: wall-clock time at which it was made.
+    :param manifest: hash of the manifest of the version.
+    """
 
     number: int
     author: str
@@ -52,11 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """Hold the head object.
+    """Content of the head object.
 
-    :param number: number of the version.
-    :param manifest: hash of the manifest, empty before the first version.
-    :param history: latest edits, the newest last.
+    :param number: number of the version in force, 0 before the first.
+    :param manifest: hash of its manifest, empty before the first version.
+    :param history: the latest edits, newest last.
     """
 
     number: int
@@ -66,10 +72,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """Hold an edit that an operator wants.
+    """An edit that an operator requests.
 
-    :param base: number of the version that the operator saw.
-    :param tree: the whole tree as the operator wants it.
+    :param base: number of the version that the operator edited, 0 for none.
+    :param tree: the complete tree after the edit.
+    :param author: name of the operator, for the history.
+    :param message: reason of the edit, for the history.
     """
 
     base: int
@@ -79,44 +87,52 @@
 
 
 class TreeRepository:
-    """Read and edit the tree in the object store."""
+    """Reads and edits the settings tree in the object store."""
 
     def __init__(self, store: Store, stamp: Callable[[], str]) -> None:
-        """Keep the store.
+        """Start without anything cached.
 
-        :param stamp: gives the wall-clock time for the history.
+        :param store: the object store.
+        :param stamp: returns the wall-clock time as text for the history.
         """
         self._store = store
         self._stamp = stamp
         self._parts: dict[str, bytes] = {}
 
     async def read(self) -> TreeVersion | None:
-        """Return the version that the head names, or none.
+        """Return the version that the head names, or None before the first.
 
         :raises StoreError: where the store does not answer.
         """
         return await self.load(await self._store.read(HEAD))
 
     async def watch(self, seen: int, wait_s: float) -> Stored | None:
-        """Return the head object once it is newer than one seen."""
+        """Return the head object once it is newer than a version seen.
+
+        :param seen: version of the object that the caller has seen.
+        :param wait_s: longest time to wait.
+        """
         return await self._store.watch(HEAD, seen, wait_s)
 
     async def load(self, stored: Stored | None) -> TreeVersion | None:
-        """Return the version that a head object names."""
+        """Return the tree version that a head object names.
+
+        :param stored: the head object; with None the result is None.
+        """
         if stored is None:
             return None
         head = _load_head(stored.body)
         return make_version(head.number, await self._assemble(head.manifest))
 
     async def history(self) -> tuple[Edit, ...]:
-        """Return the latest edits, the newest last."""
+        """Return the recorded edits, newest last."""
         stored = await self._store.read(HEAD)
         return _load_head(stored.body).history if stored else ()
 
     async def tree_at(self, number: int) -> dict[str, Any]:
-        """Return the tree of an earlier version.
+        """Return the tree of a version in the history.
 
-        :raises TreeError: where the history does not hold it.
+        :raises TreeError: where the history does not contain the version.
         """
         for edit in await self.history():
             if edit.number == number:
@@ -124,11 +140,13 @@
         raise TreeError(Code.unknown_version, f'no version {number}')
 
     async def propose(self, proposal: Proposal) -> TreeVersion:
-        """Accept an edit, rebased on what others accepted meanwhile.
+        """Commit an edit, rebased on the edits accepted since its base.
 
+        :returns: the new version.
         :raises TreeError: where the tree has faults or the edit conflicts.
-        :raises StoreUnconfirmedError: where the outcome is not known.
-        :raises StoreError: where the store does not answer; not accepted.
+        :raises StoreUnconfirmedError: where the outcome is unknown.
+        :raises StoreError: where the store does not answer; the edit was not
+            accepted.
         """
         nonce = secrets.token_hex(8)
         failures: list[StoreError] = []
@@ -136,7 +154,8 @@
             try:
                 return await self._try_propose(proposal, nonce)
             except (StoreConflictError, StoreUnconfirmedError) as error:
-                # Read back: the head tells by the nonce whether it was ours.
+                # The next try reads the head, whose history contains the nonce
+                # if this write took effect.
                 failures.append(error)
             except StoreError as error:
                 raise _final_error(failures, error) from error
@@ -186,7 +205,11 @@
         tree: Mapping[str, Any],
         known: str,
     ) -> str:
-        """Write the parts that the known manifest lacks; return the new one."""
+        """Write the parts that are not in the known manifest.
+
+        :param known: hash of the known manifest, empty for none.
+        :returns: hash of the new manifest.
+        """
         manifest = await self._manifest(known) if known else {}
         present = set(manifest.values())
         names = {}
@@ -231,7 +254,7 @@
         return body
 
     def _trim_cache(self, wanted: set[str]) -> None:
-        """Keep no more parts in memory than a version or two has."""
+        """Drop parts not in ``wanted`` once about two versions are cached."""
         if len(self._parts) > 2 * len(wanted) + 8:
             self._parts = {
                 digest: body
@@ -241,7 +264,7 @@
 
 
 def make_version(number: int, tree: Mapping[str, Any]) -> TreeVersion:
-    """Return a checked version of a tree given as plain mappings.
+    """Return the version of a tree that is given as plain mappings.
 
     :raises TreeError: where the tree has faults.
     """
@@ -251,7 +274,10 @@
 
 
 def load_version(number: int, text: str) -> TreeVersion:
-    """Return a version as a peer passed it on."""
+    """Return the version of a tree that another instance sent as YAML.
+
+    :raises TreeError: where the tree has faults.
+    """
     parsed = parse_tree(text)
     return TreeVersion(number, parsed, KeyTable(parsed), text)
 
@@ -265,9 +291,9 @@
     failures: Iterable[StoreError],
     last: StoreError,
 ) -> StoreError:
-    """Return what to tell an operator whose edit was not confirmed.
+    """Return the error for an edit that was not confirmed.
 
-    After a write with an unknown outcome the edit may be in force.
+    If any write had an unknown outcome, the edit may be in force.
     """
     unsure = any(isinstance(error, StoreUnconfirmedError) for error in failures)
     return StoreUnconfirmedError(Code.edit_unconfirmed) if unsure else last
--- a/src/siskinpass/version/routes.py
+++ b/src/siskinpass/version/routes.py
@@ -1,7 +1,8 @@
-"""Hold one version of the routing document.
+"""One version of the routing document: routes, services and workspaces.
 
-A route is a leaf of the tree of settings: it inherits what the installation
-states and is itself overridden by the workspace of the caller's key.
+A route is a leaf of the settings tree: it inherits the settings of the
+installation and can itself be overridden by the workspace that the caller's
+key belongs to.
 """
 
 import enum
@@ -13,7 +14,13 @@
 
 
 class RepeatPolicy(enum.Enum):
-    """Tell what may be repeated."""
+    """Whether a request may run more than once.
+
+    ``idempotent``: it may.
+    ``once``: it must not.
+    ``stream``: it is answered by a stream and may run again, on another
+    server, only where the route is resumable.
+    """
 
     idempotent = 'idempotent'
     once = 'once'
@@ -22,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Send a part of a route's requests to one service."""
+    """Part of a route's requests that goes to one service.
+
+    :param weight: size of the part relative to the other weights of the route.
+    """
 
     service: str
     weight: float
@@ -30,17 +40,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Describe one request class.
-
-    :param repeat: what may be repeated.
-    :param timeout_s: longest time from arrival to the final answer.
-    :param target_s: time to the answer, for streams to the first event.
-    :param pause_s: longest pause between events that is on time, 0 for none.
+    """One request class.
+
+    :param host: host name that requests must be addressed to.
+    :param prefix: prefix of the request paths.
+    :param repeat: whether requests may run more than once.
+    :param shares: services that requests are distributed among.
+    :param timeout_s: longest time from arrival to the end of the response.
+    :param target_s: latency target for the response, for streams for the first
+        event.
+    :param pause_s: target for the longest pause between events, 0 for none.
     :param tier: priority, 0 is the most urgent.
-    :param max_attempts: backend servers that may run one request.
+    :param max_attempts: number of sends of one request that may be run.
     :param is_public: whether requests need no key.
     :param has_prompt: whether requests carry a prompt for a model engine.
-    :param is_resumable: whether a cut stream may go on elsewhere.
+    :param is_resumable: whether a stream that broke off may be continued from
+        another server.
     """
 
     name: str
@@ -59,7 +74,7 @@
 
     @property
     def is_stream(self) -> bool:
-        """Return whether the answer is a series of events."""
+        """Return whether the response is a stream of events."""
         return self.repeat is RepeatPolicy.stream
 
     @property
@@ -68,9 +83,9 @@
         return self.repeat is RepeatPolicy.idempotent or self.is_resumable
 
     def pick_service(self, draw: float) -> str:
-        """Return the service that a draw selects.
+        """Return a service chosen at random by the weights of the shares.
 
-        :param draw: uniform over 0 to 1, 1 excluded.
+        :param draw: random number, uniform over 0 to 1, 1 excluded.
         """
         bounds = list(accumulate(share.weight for share in self.shares))
         index = bisect(bounds, draw * bounds[-1])
@@ -79,11 +94,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """Describe the model engines of a service.
+    """Properties of the model engines of a service.
 
-    :param slots: requests that one engine runs at once.
-    :param kv_capacity_tokens: tokens that its memory holds.
-    :param kv_bytes_per_token: bytes of one token's attention state.
+    :param slots: requests that one engine runs concurrently.
+    :param kv_capacity_tokens: tokens that the KV cache of one engine holds.
+    :param kv_bytes_per_token: size of the KV cache entry of one token.
     :param supports_kv_backup: whether the KV cache of a running request can be
         copied to another engine.
     """
@@ -96,11 +111,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Describe one service.
+    """A group of backend servers that serve the same requests.
 
     :param max_connections: connections that one backend server accepts from
         all instances together.
-    :param engine: its model engines, none for a plain service.
+    :param engine: properties of its model engines, None for a plain service.
     """
 
     name: str
@@ -110,10 +125,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bound what a caller may send.
+    """Limits on what a caller may send.
 
-    :param head_timeout_s: time for a whole head.
-    :param idle_timeout_s: time that a kept connection may be idle.
+    :param head_bytes: size of the head of a request.
+    :param body_bytes: size of the body of a request.
+    :param head_timeout_s: time within which a complete head must arrive.
+    :param idle_timeout_s: time for which a persistent connection may be idle.
     """
 
     head_bytes: int = 16_384
@@ -124,10 +141,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """Describe one workspace.
+    """One workspace, a customer of the installation.
 
-    :param tier: goes before the tiers of the routes, 0 is the most urgent;
-        without one the workspace ranks as the least urgent of the others.
+    :param keys: API keys of its callers.
+    :param tier: priority, 0 is the most urgent; takes precedence over the
+        tiers of the routes. A workspace without one ranks with the least
+        urgent workspace that has one.
     """
 
     name: str
@@ -137,7 +156,7 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """Hold one version of the routing document, whole and checked."""
+    """One complete and validated version of the routing document."""
 
     version: int
     routes: tuple[Route, ...]
@@ -147,32 +166,35 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Return whether routes that are not open need a key."""
+        """Return whether routes that are not public need a key."""
         return bool(self.workspaces)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, or none."""
+        """Return the route with the longest matching prefix, or None.
+
+        :param host: host name of the request, in any case.
+        """
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def workspace_of(self, key: str) -> Workspace | None:
-        """Return the workspace that holds a key, or none."""
+        """Return the workspace that a key belongs to, or None."""
         return self._by_key.get(key)
 
     def tier_of(self, route: Route, workspace: Workspace | None) -> int:
         """Return the tier of a request, 0 for the most urgent of the table.
 
-        A workspace's tier goes before that of the route; among workspaces of
-        one tier the classes keep the order of their routes.
+        Requests are ranked by the tier of the workspace first and by the tier
+        of the route second.
         """
         return self._tiers[self._workspace_tier(workspace), route.tier]
 
     def is_tight(self, route: Route) -> bool:
-        """Return whether no other stream has a shorter pause.
+        """Return whether a route has the shortest pause target of all streams.
 
-        Where all streams have the same pause, none is tight.
+        Where all streams have the same pause target, none is tight.
         """
         return route.pause_s > 0 and route.pause_s == self._tight_pause_s
 
@@ -183,7 +205,10 @@
 
     @cached_property
     def _tiers(self) -> dict[tuple[int, int], int]:
-        """Number the pairs of tiers without gaps."""
+        """Return consecutive tiers for the pairs of workspace and route tiers.
+
+        They are numbered without gaps, in the order of the pairs.
+        """
         upper = {self._workspace_tier(one) for one in self.workspaces}
         upper.add(self._lowest_tier)
         lower = {route.tier for route in self.routes}
--- a/src/siskinpass/version/schema.py
+++ b/src/siskinpass/version/schema.py
@@ -1,4 +1,4 @@
-"""Define the settings that a node of the tree can hold, and their bounds."""
+"""Nodes of the settings tree, the settings they can hold and their bounds."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, fields
@@ -14,20 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """Hold the settings in force for one request class.
+    """Settings in force for one request class, its service level included.
 
     Latencies are counted from the arrival of the request.
 
     :param tier: priority, 0 is the most urgent.
-    :param pool: backend servers that serve the class.
-    :param first_token_ms: latency target of the first token.
-    :param token_ms: target of the mean time between tokens.
-    :param max_wait_ms: wait after which a request is refused.
+    :param pool: name of the pool of backend servers that serve the class.
+    :param first_token_ms: latency target for the first token.
+    :param token_ms: target for the mean time between tokens.
+    :param max_wait_ms: time in the queue after which a request is refused.
     :param objective: fraction of requests that must meet the targets.
     :param share: fraction of freed slots guaranteed to the tier.
     :param retry_fraction: retries allowed per request.
     :param repeatable: whether a request may be run more than once.
-    :param max_tokens: most tokens of one answer.
+    :param max_tokens: limit on the tokens of one response.
     """
 
     tier: int = 3
@@ -44,14 +44,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Describe a pool of backend servers.
+    """Pool of backend servers.
 
     :param kind: ``engine`` or ``service``.
     :param models: models that its engines serve.
-    :param slots: first limit of each backend server.
-    :param slots_most: limit that is never exceeded.
-    :param token_ms: token time that the limit defends.
-    :param checks_fence: whether its servers refuse an old fencing number.
+    :param slots: initial concurrency limit of each backend server.
+    :param slots_most: upper bound of the concurrency limit.
+    :param token_ms: mean time between tokens that the concurrency limit is
+        adapted to maintain.
+    :param checks_fence: whether its servers reject outdated fencing numbers.
     """
 
     kind: str = 'engine'
@@ -64,7 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiKey:
-    """Bind a caller's key to a workspace, held as a salted hash."""
+    """API key of a workspace, stored as a salted hash.
+
+    :param salt: salt in hexadecimal.
+    :param digest: hash of the key with the salt, in hexadecimal.
+    :param default_class: class of requests that name none.
+    """
 
     salt: str
     digest: str
@@ -73,10 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """Hold one branch of the tree.
+    """Branch of the settings tree for one workspace.
 
-    :param settings: what the workspace overrides.
-    :param classes: what each request class overrides.
+    :param settings: settings that override those of the root.
+    :param classes: for each request class, settings that override those of
+        the workspace.
+    :param keys: API keys of the workspace.
     """
 
     settings: Mapping[str, SettingValue] = field(default_factory=dict)
@@ -88,7 +96,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Root:
-    """Hold the root of the tree."""
+    """Root of the settings tree.
+
+    :param deployment: name of the installation.
+    :param settings: settings that apply where nothing overrides them.
+    :param pools: pools of backend servers by name.
+    """
 
     deployment: str
     settings: Mapping[str, SettingValue] = field(default_factory=dict)
@@ -97,7 +110,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tree:
-    """Hold one version of the settings tree."""
+    """One version of the settings tree.
+
+    :param workspaces: branches by name of the workspace.
+    """
 
     root: Root
     workspaces: Mapping[str, Workspace]
@@ -105,7 +121,7 @@
     def class_settings(
         self, workspace: str, request_class: str
     ) -> ClassSettings | None:
-        """Return what holds for a class, or none where there is no such."""
+        """Return the settings in force for a class, or None if unknown."""
         branch = self.workspaces.get(workspace)
         if branch is None or request_class not in branch.classes:
             return None
@@ -120,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bound a number, both ends included."""
+    """Permitted range of a number, both ends included."""
 
     minimum: float
     maximum: float
@@ -141,5 +157,5 @@
 
 
 def field_types(cls: type) -> dict[str, type | str]:
-    """Return the fields of a data class and their types."""
+    """Return the type of each field of a data class by its name."""
     return {spec.name: spec.type for spec in fields(cls)}
--- a/src/siskinpass/version/tree_version.py
+++ b/src/siskinpass/version/tree_version.py
@@ -1,6 +1,6 @@
-"""Keep the version of the tree that is in force, which never goes down.
+"""The version of the settings tree that is in force.
 
-Pure logic.
+Pure logic without I/O. The version number never decreases.
 """
 
 from dataclasses import dataclass
@@ -11,11 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TreeVersion:
-    """Hold one accepted version.
+    """One accepted version of the settings tree.
 
-    :param number: counts up with each accepted edit, from 1.
-    :param tree: the tree.
-    :param text: the tree as it was accepted, for passing it on.
+    :param number: starts at 1 and increases with each accepted edit.
+    :param tree: the parsed tree.
+    :param keys: look-up table of the API keys in the tree.
+    :param text: the tree as YAML, for passing it on to other instances.
     """
 
     number: int
@@ -25,7 +26,7 @@
 
 
 class CurrentVersion:
-    """Hold the version in force."""
+    """Holder of the version in force."""
 
     def __init__(self) -> None:
         """Start with no version in force."""
@@ -33,16 +34,19 @@
 
     @property
     def current(self) -> TreeVersion | None:
-        """Return the version in force, or none."""
+        """Return the version in force, or None before the first."""
         return self._current
 
     @property
     def number(self) -> int:
-        """Return the number in force, 0 where there is none."""
+        """Return the number of the version in force, 0 before the first."""
         return self._current.number if self._current else 0
 
     def adopt_if_newer(self, version: TreeVersion) -> bool:
-        """Put a version in force if it is higher, and tell whether it is."""
+        """Put a version in force if its number is higher than the current.
+
+        :returns: whether it was put in force.
+        """
         if version.number <= self.number:
             return False
         self._current = version
