--- a/src/siskinpass/codes.py
+++ b/src/siskinpass/codes.py
@@ -1,9 +1,9 @@
-"""Number every answer that the router gives in its own name.
+"""Result codes of the responses that the router itself gives.
 
-The first digit names the family: 1 for a request that is wrong, 2 for one
+The first digit names the family: 1 for a request that is not valid, 2 for one
 that was refused and not run, 3 for one that failed at a backend server, 4 for
-the reason of a retry, 5 for the operators' side and 6 for process settings.
-``docs/CODES.md`` is checked against this table.
+the reason of a retry, 5 for operator requests and 6 for process settings.
+A test compares ``docs/CODES.md`` with this table.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class Ran(enum.Enum):
-    """Tell whether a backend server ran the request."""
+    """Whether a backend server ran the request."""
 
     not_run = 'no'
     was_run = 'yes'
@@ -20,7 +20,7 @@
 
 
 class Code(enum.IntEnum):
-    """List the result codes."""
+    """Result codes, as sent to callers and written to the log."""
 
     malformed_json = 1001
     header_too_large = 1002
@@ -85,9 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Meaning:
-    """Describe one code.
+    """Meaning of one code.
 
-    :param status: HTTP status that carries the code, 0 where none does.
+    :param status: HTTP status of responses with the code, 0 where the code is
+        not sent in a response.
     :param ran: whether a backend server ran the request.
     :param text: one short sentence for the caller.
     """
--- a/src/siskinpass/exceptions.py
+++ b/src/siskinpass/exceptions.py
@@ -1,14 +1,15 @@
-"""Define the exception tree of the package."""
+"""Exception hierarchy of the package."""
 
 from siskinpass.codes import MEANINGS, Code
 
 
 class SiskinpassError(Exception):
-    """Base of every error that the package raises on purpose.
+    """Base class of all exceptions that the package raises deliberately.
 
-    :param code: the numbered result code.
-    :param detail: what was wrong, for the log and the caller.
-    :param retry_after_ms: when to try again, 0 where that does not help.
+    :param code: the result code.
+    :param detail: what went wrong, for the log and the caller; the text of the
+        code is used where it is empty.
+    :param retry_after_ms: when to retry, 0 where that does not help.
     :param address: another instance to use, empty where that does not help.
     """
 
@@ -19,7 +20,7 @@
         retry_after_ms: int = 0,
         address: str = '',
     ) -> None:
-        """Keep the code beside the text."""
+        """Use the detail as the message, or else the text of the code."""
         super().__init__(detail or MEANINGS[code].text)
         self.code = code
         self.retry_after_ms = retry_after_ms
@@ -27,7 +28,7 @@
 
 
 class RequestError(SiskinpassError):
-    """A caller's request is wrong."""
+    """A caller's request is not valid."""
 
 
 class RefusedError(SiskinpassError):
@@ -35,32 +36,32 @@
 
 
 class BackendError(SiskinpassError):
-    """A backend server failed."""
+    """A request failed at a backend server."""
 
 
 class ConnectError(BackendError):
-    """No byte of the request reached a backend server."""
+    """No connection to a backend server; no byte of the request reached it."""
 
 
 class TreeError(SiskinpassError):
-    """A settings tree or an edit to it is wrong."""
+    """A settings tree, or an edit to it, is not valid."""
 
 
 class StoreError(SiskinpassError):
-    """The object store did not answer as asked."""
+    """The object store did not answer or could not do what was requested."""
 
 
 class StoreConflictError(StoreError):
-    """The object has another version than the one expected."""
+    """A conditional write found another version than the expected one."""
 
 
 class StoreUnconfirmedError(StoreError):
-    """A write may or may not have taken effect."""
+    """It is unknown whether a write took effect."""
 
 
 class FormatError(SiskinpassError):
-    """A document from outside cannot be read."""
+    """A document from another system cannot be parsed."""
 
 
 class SettingsError(SiskinpassError):
-    """A process setting is wrong."""
+    """A setting of the process is missing or not valid."""
