--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -1,4 +1,4 @@
-"""Test that a claimed request runs at most once, over all interleavings."""
+"""Test that a claimed request runs at most once in every interleaving."""
 
 import itertools
 
@@ -14,12 +14,12 @@
 
 
 def claim(nonce, state=ClaimState.open, digest='d', status=0):
-    """Return a claim."""
+    """Return a claim written at 100 s."""
     return Claim(nonce, digest, state, 100.0, status)
 
 
-class TestJudge:
-    """Test the verdict for each state of a claim."""
+class TestDecideClaim:
+    """Test the decision for each state of an existing claim."""
 
     @pytest.mark.parametrize(
         ('found', 'age_s', 'action', 'code'),
@@ -55,18 +55,18 @@
         ],
     )
     def test_table(self, found, age_s, action, code):
-        """Each state has one truthful verdict."""
+        """The claim's state, owner, digest and age determine the action."""
         decision = decide_claim(found, 'mine', 'd', age_s, 60.0)
         assert (decision.action, decision.code) == (action, code)
 
     def test_stored_claim_reads_back(self):
-        """A claim survives the store."""
-        made = claim('n', ClaimState.done, status=200)
-        assert Claim.load(made.dump()) == made
+        """A claim is equal after serialization and parsing."""
+        stored = claim('n', ClaimState.done, status=200)
+        assert Claim.load(stored.dump()) == stored
 
 
-class Caller:
-    """Model one attempt: create, read back where unsure, run, settle."""
+class ModelCaller:
+    """Model of one attempt: create, read back if unsure, run, settle."""
 
     def __init__(self, nonce):
         """Start before the first write."""
@@ -75,81 +75,84 @@
         self.version = 0
 
     def advance(self, store, runs, *, lost):
-        """Take one step on the model store; ``lost`` hides a confirmation."""
+        """Take one step on the model store.
+
+        ``lost`` hides the confirmation of a write from the writer.
+        """
         getattr(self, self.step)(store, runs, lost)
 
     def create(self, store, runs, lost):
-        """Create the claim where there is none."""
+        """Create the claim if there is none."""
         if store['claim'] is None:
             self.write(store, ClaimState.open)
-            self.step = 'look' if lost else 'run'
+            self.step = 'read_back' if lost else 'run'
         else:
-            self.step = 'look'
+            self.step = 'read_back'
 
-    def look(self, store, runs, lost):
-        """Read the claim and follow the verdict."""
+    def read_back(self, store, runs, lost):
+        """Read the claim and follow the decision."""
         found = store['claim']
         decision = decide_claim(found, self.nonce, 'd', 1.0, 60.0)
         if decision.action is ClaimAction.run:
             self.step = 'run'
         elif decision.action is ClaimAction.take_over:
             self.version = store['version']
-            self.step = 'take'
+            self.step = 'replace_claim'
         else:
             self.step = 'end'
 
-    def take(self, store, runs, lost):
-        """Replace a claim that did not run, by its version."""
+    def replace_claim(self, store, runs, lost):
+        """Replace a claim whose request did not run, if it is unchanged."""
         if store['version'] == self.version:
             self.write(store, ClaimState.open)
-            self.step = 'look' if lost else 'run'
+            self.step = 'read_back' if lost else 'run'
         else:
             self.step = 'end'
 
     def run(self, store, runs, lost):
-        """Run the request; lost stands for a refusal before it ran."""
+        """Run the request; here ``lost`` means a refusal before it ran."""
         if not lost:
             runs.append(self.nonce)
         self.step = 'settle_not_run' if lost else 'settle_done'
 
     def settle_not_run(self, store, runs, lost):
-        """Settle a request that did not run."""
+        """Record that the request did not run."""
         self.write(store, ClaimState.not_run)
         self.step = 'end'
 
     def settle_done(self, store, runs, lost):
-        """Settle a request that ran."""
+        """Record that the request ran."""
         self.write(store, ClaimState.done, 200)
         self.step = 'end'
 
     def write(self, store, state, status=0):
-        """Write the claim as this caller's."""
+        """Write a claim with this caller's nonce."""
         store['claim'] = claim(self.nonce, state, status=status)
         store['version'] += 1
 
     def end(self, store, runs, lost):
-        """Do nothing more."""
+        """Do nothing, as the attempt is over."""
 
 
-def explore(choices):
-    """Run one interleaving and return how often the request ran."""
+def run_interleaving(choices):
+    """Run one interleaving and return the callers that ran the request."""
     store = {'claim': None, 'version': 0}
     runs = []
-    callers = [Caller('one'), Caller('two')]
-    for who, lost in choices:
-        callers[who].advance(store, runs, lost=lost)
+    callers = [ModelCaller('one'), ModelCaller('two')]
+    for index, lost in choices:
+        callers[index].advance(store, runs, lost=lost)
     return runs
 
 
 class TestInterleavings:
-    """Check every order of steps and every lost confirmation."""
+    """Test every order of steps with every choice of lost confirmations."""
 
     def test_at_most_once(self):
-        """Two attempts with one key never both run."""
-        moves = tuple(itertools.product((0, 1), (False, True)))
+        """Two attempts with the same key never both run."""
+        steps = tuple(itertools.product((0, 1), (False, True)))
         seen = set()
-        for choices in itertools.product(moves, repeat=8):
-            runs = explore(choices)
+        for choices in itertools.product(steps, repeat=8):
+            runs = run_interleaving(choices)
             assert len(runs) <= 1, choices
             seen.add(tuple(runs))
         assert {(), ('one',), ('two',)} <= seen
--- a/tests/test_codes.py
+++ b/tests/test_codes.py
@@ -12,21 +12,21 @@
 
 
 class TestCodes:
-    """Test numbers, meanings and the page."""
+    """Test the table, its page in the docs and its use in responses."""
 
     def test_every_code_has_a_meaning(self):
-        """A code without a meaning could not be answered."""
+        """Every code has a status and a text for responses."""
         assert set(MEANINGS) == set(Code)
 
-    def test_page_holds_the_table(self):
-        """The operators' page is the code's own table."""
+    def test_docs_page_matches_the_table(self):
+        """The page for operators lists exactly the codes and meanings."""
         rows = re.findall(
             r'^\| (\d{4}) \| (\w+) \| (\d+|-) \| (\w+) \| (.+) \|$',
             PAGE.read_text(),
             re.MULTILINE,
         )
-        told = {int(row[0]): row[1:] for row in rows}
-        assert told == {
+        documented = {int(row[0]): row[1:] for row in rows}
+        assert documented == {
             int(code): (
                 code.name,
                 str(MEANINGS[code].status or '-'),
@@ -45,8 +45,8 @@
             (Code.outcome_unknown, 0, b'X-Siskinpass-Ran: unknown\r\n'),
         ],
     )
-    def test_answer_tells_code_and_retry(self, code, retry_ms, wanted):
-        """A caller learns whether it ran and when to come back."""
+    def test_response_states_code_and_retry(self, code, retry_ms, wanted):
+        """The headers state the code, whether it ran and when to retry."""
         wire = error_answer(code, retry_after_ms=retry_ms)
         assert wanted in wire
         assert b'X-Siskinpass-Code: %d\r\n' % code in wire
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -1,4 +1,4 @@
-"""Test reading and writing settings trees."""
+"""Test parsing and serializing settings trees."""
 
 from pathlib import Path
 
@@ -24,10 +24,10 @@
 
 
 class TestParseTree:
-    """Test inheritance and the place of every fault."""
+    """Test inheritance of settings and the reporting of faults."""
 
     def test_class_inherits(self):
-        """A class takes what its workspace and the root say."""
+        """A class inherits the settings of its workspace and the root."""
         tree = parse_tree(GOOD)
         counter = tree.class_settings('a', 'counter')
         draft = tree.class_settings('a', 'draft')
@@ -53,22 +53,22 @@
             ('deployment: x', 'deployment: [', 'line'),
         ],
     )
-    def test_fault_is_named(self, old, new, wanted):
-        """Each fault tells path, line and reason."""
+    def test_fault_states_its_place(self, old, new, wanted):
+        """Each fault states path, line and reason."""
         with pytest.raises(TreeFaultsError) as caught:
             parse_tree(GOOD.replace(old, new))
         assert wanted in str(caught.value)
 
-    def test_all_faults_are_told_at_once(self):
-        """One reading names every fault."""
+    def test_all_faults_are_reported_at_once(self):
+        """One error lists every fault."""
         text = GOOD.replace('tier: 3', 'tier: 99, share: 2')
         with pytest.raises(TreeFaultsError) as caught:
             parse_tree(text)
         assert len(caught.value.faults) == 2
 
     @given(st.text(max_size=60))
-    def test_any_text_is_read_or_refused(self, text):
-        """No text breaks the reader in another way."""
+    def test_any_text_is_parsed_or_rejected(self, text):
+        """No text raises another exception than that for faults."""
         try:
             parse_tree(text)
         except TreeFaultsError as error:
@@ -76,7 +76,7 @@
 
     @pytest.mark.parametrize('path', EXAMPLES, ids=lambda path: path.stem)
     def test_examples_read_back(self, path):
-        """The examples are valid and survive writing and reading."""
+        """The examples are valid and equal after a round trip."""
         tree = parse_tree(path.read_text())
         assert len(tree.workspaces) == 10
         assert parse_tree(dump_tree(tree)) == tree
--- a/tests/test_edit.py
+++ b/tests/test_edit.py
@@ -1,4 +1,4 @@
-"""Test comparing and rebasing edits."""
+"""Test diffing trees and rebasing edits."""
 
 import pytest
 from hypothesis import given
@@ -24,7 +24,7 @@
 
 
 class TestRebase:
-    """Test two edits of one base."""
+    """Test two edits from the same base."""
 
     @pytest.mark.parametrize(
         ('mine', 'theirs', 'wanted'),
@@ -38,7 +38,7 @@
             (('settings/tier', 2), ('settings/tier', 2), {'tier': 2}),
         ],
     )
-    def test_disjoint_edits_both_hold(self, mine, theirs, wanted):
+    def test_disjoint_edits_are_merged(self, mine, theirs, wanted):
         """Edits of different leaves, or the same edit, do not conflict."""
         merged = rebase(BASE, _with(mine), _with(theirs))
         assert merged['settings'] == wanted
@@ -52,14 +52,14 @@
         ],
     )
     def test_same_leaf_conflicts(self, mine, theirs):
-        """The later operator sees what changed."""
+        """The later edit fails and names the change that it conflicts with."""
         with pytest.raises(ConflictError) as caught:
             rebase(BASE, _with(mine), _with(theirs))
         assert caught.value.theirs[0].path.startswith(theirs[0][:12])
         assert caught.value.code is Code.tree_conflict
 
-    def test_classes_added_to_an_empty_node_both_hold(self):
-        """Two first children of an empty node are disjoint."""
+    def test_classes_added_to_an_empty_node_are_merged(self):
+        """Different children added to the same empty node do not conflict."""
         merged = rebase(
             BASE,
             _with(('workspaces/a/classes/one', {})),
@@ -69,17 +69,17 @@
 
     @given(trees, trees)
     def test_rebase_on_the_base_is_the_edit(self, base, mine):
-        """Without another edit the result is what the operator wanted."""
+        """Rebasing on an unchanged base returns the edited tree."""
         assert rebase(base, mine, base) == mine
 
     @given(trees)
     def test_no_difference_from_itself(self, tree):
-        """A tree does not differ from itself."""
+        """The diff of a tree with itself is empty."""
         assert diff(tree, tree) == []
 
 
 class TestNodes:
-    """Test addressing nodes."""
+    """Test access to nodes by path."""
 
     def test_set_and_get(self):
         """A leaf that was set is read back."""
@@ -88,13 +88,13 @@
         assert get_node(tree, 'a/b') == {'c': 4}
 
     def test_unknown_node(self):
-        """A path that leads nowhere is an error."""
+        """A path to no node raises an error."""
         with pytest.raises(TreeError):
             get_node(BASE, 'settings/none')
 
 
 def _with(change):
-    """Return the base with one leaf changed."""
+    """Return a copy of the base with one leaf set."""
     tree = {
         'settings': dict(BASE['settings']),
         'workspaces': {'a': {'classes': {}}},
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -1,4 +1,4 @@
-"""Test accepting edits over a store that loses confirmations."""
+"""Test committing edits to a store that loses confirmations."""
 
 import asyncio
 
@@ -19,29 +19,34 @@
 
 
 class FakeStore:
-    """Keep objects in memory; fail as the plan says, call by call."""
+    """In-memory object store whose writes fail as planned."""
 
     def __init__(self, plan=()):
-        """Take what each write does: ok, lost, down or before."""
+        """Start empty.
+
+        ``plan`` lists the outcome of each write: ``ok``; ``lost``, done but
+        not confirmed; ``before``, neither done nor confirmed; or ``down``, an
+        error. Writes after the end of the plan succeed.
+        """
         self.objects = {}
         self.version = 0
         self.plan = list(plan)
         self.writes = 0
 
     async def read(self, key):
-        """Return an object."""
+        """Return an object, or None where there is none."""
         return self.objects.get(key)
 
     async def create(self, key, body):
-        """Create an object."""
+        """Write an object that must not exist yet."""
         return self.put(key, body, None)
 
     async def replace(self, key, body, version):
-        """Replace an object."""
+        """Write an object that must have the given version."""
         return self.put(key, body, version)
 
     def put(self, key, body, version):
-        """Write as the plan says."""
+        """Write an object with the next outcome of the plan."""
         step = self.plan.pop(0) if self.plan else 'ok'
         self.writes += 1
         if step == 'down':
@@ -59,7 +64,7 @@
 
 
 def tree(**tiers):
-    """Return a tree with a workspace for each name."""
+    """Return a tree with a workspace of one class for each name."""
     return {
         'deployment': 'x',
         'settings': {},
@@ -72,21 +77,21 @@
 
 
 def repository(store):
-    """Return a repository without a clock."""
+    """Return a repository with a fixed time."""
     return TreeRepository(store, lambda: 'then')
 
 
 def propose(store, base, wanted):
-    """Propose a tree."""
+    """Commit a tree through a new repository and return its version."""
     return asyncio.run(repository(store).propose(Proposal(base, wanted)))
 
 
 class TestPropose:
-    """Test when an edit counts as accepted."""
+    """Test when an edit is accepted and what the caller is told."""
 
     @given(st.lists(st.sampled_from(('ok', 'lost', 'before', 'down'))))
-    def test_accepted_exactly_when_told_so(self, plan):
-        """Whatever fails, the answer agrees with what the store holds."""
+    def test_result_agrees_with_the_store(self, plan):
+        """Success and failure are reported as the store holds them."""
         store = FakeStore()
         propose(store, 0, tree(a=1))
         store.plan = list(plan)
@@ -104,16 +109,16 @@
         assert found.tree.class_settings('a', 'c').tier == 2
 
     def test_lost_confirmation_is_found_by_nonce(self):
-        """An edit that took effect unseen is not made twice."""
+        """An edit whose confirmation was lost is not applied twice."""
         store = FakeStore()
         propose(store, 0, tree(a=1))
-        # The part, the manifest and the head are written in this order.
+        # Part, manifest and head are written in this order.
         store.plan = ['ok', 'ok', 'lost']
         assert propose(store, 1, tree(a=2)).number == 2
         assert _in_force(store).number == 2
 
     def test_disjoint_edits_are_rebased(self):
-        """Two operators who started from one version both get theirs."""
+        """Two edits of different nodes from the same base both apply."""
         store = FakeStore()
         propose(store, 0, tree(a=1, b=1))
         propose(store, 1, tree(a=2, b=1))
@@ -123,7 +128,7 @@
         assert found.class_settings('b', 'c').tier == 2
 
     def test_conflicting_edit_is_refused(self):
-        """The second edit of one node names what changed."""
+        """The second edit of a node fails and names the first change."""
         store = FakeStore()
         propose(store, 0, tree(a=1))
         propose(store, 1, tree(a=2))
@@ -133,25 +138,29 @@
         assert (change.path, change.new) == ('workspaces/a/classes/c/tier', 2)
 
     def test_faulty_tree_writes_nothing(self):
-        """A tree with faults never reaches the store."""
+        """A tree with faults is rejected before any write."""
         store = FakeStore()
         with pytest.raises(TreeError):
             propose(store, 0, tree(a=99))
         assert not store.objects
 
     def test_small_edit_writes_little(self):
-        """An edit of one workspace writes its part, manifest and head."""
+        """An edit of one workspace writes only its part, manifest and head."""
         store = FakeStore()
         wide = {f'w{number}': 1 for number in range(200)}
         propose(store, 0, tree(**wide))
         store.writes = 0
-        made = repository(store)
-        asyncio.run(made.read())
-        asyncio.run(made.propose(Proposal(1, tree(**{**wide, 'w7': 2}))))
+        repository_with_cache = repository(store)
+        asyncio.run(repository_with_cache.read())
+        asyncio.run(
+            repository_with_cache.propose(
+                Proposal(1, tree(**{**wide, 'w7': 2}))
+            )
+        )
         assert store.writes == 3
 
     def test_head_stays_small(self):
-        """The head does not grow with workspaces or edits."""
+        """The head stays small for any number of workspaces and edits."""
         store = FakeStore()
         wide = {f'w{number}': 1 for number in range(300)}
         propose(store, 0, tree(**wide))
@@ -160,7 +169,7 @@
         assert len(store.objects[HEAD].body) < 20_000
 
     def test_earlier_version_is_read(self):
-        """The history holds earlier trees for a rollback."""
+        """Versions in the history are readable, for a rollback."""
         store = FakeStore()
         propose(store, 0, tree(a=1))
         propose(store, 1, tree(a=2))
--- a/tests/test_resend.py
+++ b/tests/test_resend.py
@@ -1,4 +1,4 @@
-"""Test what follows when an attempt ended."""
+"""Test retry decisions, attempt time-outs and the retry budget."""
 
 import itertools
 
@@ -20,7 +20,7 @@
 
 
 def route(repeat, attempts=2, **more):
-    """Return a route."""
+    """Return a route with the given rules for repetition."""
     return Route(
         'r',
         'h',
@@ -41,8 +41,8 @@
 SINGLE = route(RepeatPolicy.idempotent, attempts=1)
 
 
-class TestDecide:
-    """Test the table of steps."""
+class TestDecideNextStep:
+    """Test the next step after an attempt."""
 
     @pytest.mark.parametrize(
         ('kind', 'ending', 'sends', 'step'),
@@ -111,7 +111,7 @@
         ],
     )
     def test_table(self, kind, ending, sends, step):
-        """Each ending of each kind has one step."""
+        """Route, outcome and sends so far determine the step."""
         assert decide_next_step(kind, ending, sends) is step
 
     @pytest.mark.parametrize(
@@ -122,12 +122,17 @@
             for endings in itertools.product(AttemptOutcome, repeat=4)
         ],
     )
-    def test_promises_hold_over_any_endings(self, kind, endings):
-        """Runs are bounded, and "not run" is only said when it is true."""
+    def test_guarantees_hold_for_any_outcomes(self, kind, endings):
+        """Runs are limited, and "not run" is only stated when it is true."""
         sends = SendCounts()
         for ending in endings:
-            unrun = ending in {AttemptOutcome.unsent, AttemptOutcome.declined}
-            sends = SendCounts(sends.run + (not unrun), sends.not_run + unrun)
+            is_not_run = ending in {
+                AttemptOutcome.unsent,
+                AttemptOutcome.declined,
+            }
+            sends = SendCounts(
+                sends.run + (not is_not_run), sends.not_run + is_not_run
+            )
             step = decide_next_step(kind, ending, sends)
             if step not in {NextStep.resend, NextStep.resume}:
                 break
@@ -138,16 +143,16 @@
             assert sends.run == 0
 
     @pytest.mark.parametrize('ending', AttemptOutcome)
-    def test_giving_up_after_a_run_never_says_not_run(self, ending):
-        """An earlier send that may have run is remembered."""
+    def test_final_step_after_a_run_is_not_tell_not_run(self, ending):
+        """No outcome hides that an earlier send may have run."""
         assert final_step(ending, has_run=True) is not NextStep.tell_not_run
 
 
-class TestSilence:
-    """Test when silence ends an attempt."""
+class TestAttemptTimeouts:
+    """Test which attempts have time-outs."""
 
     @pytest.mark.parametrize(
-        ('kind', 'sends', 'is_bound'),
+        ('kind', 'sends', 'has_timeouts'),
         [
             (IDEMPOTENT, SendCounts(), True),
             (RESUMABLE, SendCounts(), True),
@@ -157,18 +162,18 @@
             (STREAM, SendCounts(), False),
         ],
     )
-    def test_only_repeatable_work_is_taken_elsewhere(
+    def test_only_repeatable_work_has_timeouts(
         self,
         kind,
         sends,
-        is_bound,
+        has_timeouts,
     ):
-        """Silence is waited out where no other server may run the work."""
-        assert (attempt_timeouts(kind, sends) is not None) is is_bound
+        """No time-outs apply where no other server may run the work."""
+        assert (attempt_timeouts(kind, sends) is not None) is has_timeouts
 
 
 class TestRetryWindow:
-    """Test that all instances together keep the operator's bound."""
+    """Test that all instances together keep to the operator's limit."""
 
     @given(
         st.lists(
@@ -181,7 +186,7 @@
         ),
     )
     def test_bound_holds_without_messages(self, events):
-        """In each window the sends beyond the first stay under the bound."""
+        """Retries in any window stay under the limit without communication."""
         ratio, slack, window_s, instances = 0.2, 12.0, 10.0, 4
         windows = [RetryWindow(ratio, slack, window_s) for _ in range(4)]
         now_s = 0.0
@@ -198,8 +203,8 @@
             used = sum(at >= first_s for at in spent)
             assert used <= USED_FRACTION * (ratio * counted + slack) + 1e-6
 
-    def test_budget_comes_back_as_the_window_slides(self):
-        """What was spent long ago counts no more."""
+    def test_budget_recovers_as_the_window_slides(self):
+        """Retries older than the window no longer count."""
         window = RetryWindow(0.2, 2.5, 10.0)
         assert [window.spend(0.0, 1) for _ in range(3)] == [True, True, False]
         assert window.spend(10.1, 1)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Test which route and workspace a request belongs to."""
+"""Test the selection of routes, workspaces, tiers and services."""
 
 import pytest
 from hypothesis import given
@@ -16,7 +16,7 @@
 
 
 def route(prefix, host='h.example', **more):
-    """Return a route."""
+    """Return a route that is named after its prefix."""
     return Route(
         prefix, host, prefix, RepeatPolicy.once, SHARES, 1.0, 0.1, **more
     )
@@ -44,7 +44,7 @@
 
 
 class TestRouteTable:
-    """Test the look-ups."""
+    """Test the look-ups in a routing table."""
 
     @pytest.mark.parametrize(
         ('host', 'path', 'expected'),
@@ -57,7 +57,7 @@
         ],
     )
     def test_longest_prefix_wins(self, host, path, expected):
-        """The host and the longest prefix select the route."""
+        """The host and the longest matching prefix select the route."""
         found = TABLE.find(host, path)
         assert (found and found.prefix) == expected
 
@@ -72,8 +72,8 @@
             ('key-3', '/long/', 3),
         ],
     )
-    def test_workspace_goes_before_class(self, key, path, expected):
-        """Classes keep their order among workspaces of one tier."""
+    def test_workspace_tier_takes_precedence(self, key, path, expected):
+        """Workspace tiers rank first, class tiers second."""
         found = RANKED.tier_of(
             RANKED.find('h.example', path),
             RANKED.workspace_of(key),
@@ -81,7 +81,7 @@
         assert found == expected
 
     def test_tiers_without_workspaces_are_those_of_the_classes(self):
-        """Only the order of the classes counts where nobody is ranked."""
+        """Without workspaces the tiers follow the order of the classes."""
         table = RouteTable(1, RANKED.routes, {})
         tiers = [table.tier_of(one, None) for one in table.routes]
         assert tiers == [0, 1]
@@ -96,7 +96,7 @@
         ],
     )
     def test_shortest_pause_is_tight(self, pauses, tight):
-        """Where all streams have the same pause, none is tight."""
+        """The shortest pause is tight unless all streams have the same."""
         routes = tuple(
             route(f'/{number}/', pause_s=pause_s)
             for number, pause_s in enumerate(pauses)
@@ -109,11 +109,11 @@
         [(0.0, 'a'), (0.89, 'a'), (0.91, 'b'), (0.9999, 'b')],
     )
     def test_weights_split_requests(self, draw, expected):
-        """A draw falls on a service by its weight."""
+        """The random number selects a service by the weights."""
         assert route('/').pick_service(draw) == expected
 
     def test_table_without_workspaces_needs_no_keys(self):
-        """Keys are asked for only where some are stated."""
+        """Keys are required only if the document lists workspaces."""
         assert not RouteTable(1, (), {}).needs_keys
         assert TABLE.needs_keys
 
@@ -122,7 +122,7 @@
         st.lists(st.integers(0, 4), min_size=1, max_size=4),
     )
     def test_order_is_by_workspace_then_class(self, ranked, classes):
-        """Whatever is ranked, the order is that of the pairs."""
+        """Tiers are in the order of the pairs of workspace and class tiers."""
         workspaces = [
             Workspace(str(number), frozenset(), tier)
             for number, tier in enumerate(ranked)
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Test how streams are followed."""
+"""Test parsing and resuming token streams."""
 
 import pytest
 from hypothesis import given
@@ -12,26 +12,26 @@
 
 
 def event(index, name='r1'):
-    """Return one event."""
+    """Return one event with a token, for the request ``name``."""
     return b'data: {"id":"%b","text":"t%d"}\n\n' % (name.encode(), index)
 
 
 def split(wire, cuts):
-    """Cut bytes into pieces."""
-    places = sorted({cut % (len(wire) + 1) for cut in cuts})
-    starts = [0, *places]
+    """Return the bytes split at the offsets ``cuts``, modulo their length."""
+    offsets = sorted({cut % (len(wire) + 1) for cut in cuts})
+    starts = [0, *offsets]
     return [
         wire[start:end]
-        for start, end in zip(starts, [*places, len(wire)], strict=True)
+        for start, end in zip(starts, [*offsets, len(wire)], strict=True)
     ]
 
 
-class TestTokenTap:
-    """Test counting, checking and holding back."""
+class TestTokenStreamParser:
+    """Test counting, checking and buffering."""
 
     @given(st.integers(1, 8), st.lists(st.integers(0, 400), max_size=12))
     def test_any_split_passes_the_same_bytes(self, count, cuts):
-        """However the network cuts it, the caller gets the same stream."""
+        """The caller gets the same stream however it was split on arrival."""
         wire = b''.join(event(index) for index in range(count)) + DONE_EVENT
         parser = TokenStreamParser(MARKER)
         passed = b''.join(
@@ -45,8 +45,8 @@
         st.integers(0, 300),
         st.lists(st.integers(0, 400), max_size=6),
     )
-    def test_resume_loses_and_doubles_nothing(self, count, broken, cuts):
-        """A stream that broke off anywhere goes on at the next token."""
+    def test_resume_neither_loses_nor_repeats_tokens(self, count, broken, cuts):
+        """A stream that broke off anywhere is resumed at the next token."""
         wire = b''.join(event(index) for index in range(count)) + DONE_EVENT
         parser = TokenStreamParser(MARKER)
         first = wire[: broken % len(wire)]
@@ -70,8 +70,8 @@
             DONE_EVENT + DONE_EVENT,
         ],
     )
-    def test_crossed_answer_is_not_passed_on(self, wire):
-        """Bytes for another request never reach the caller."""
+    def test_event_of_another_request_is_not_passed_on(self, wire):
+        """Events of other requests and bytes after the end are errors."""
         parser = TokenStreamParser(MARKER)
         with pytest.raises(BackendError) as caught:
             parser.feed(wire, 1.0)
@@ -79,7 +79,7 @@
         assert caught.value.code is Code.answer_crossed
 
     def test_event_without_end_is_bounded(self):
-        """An endless event does not fill the memory."""
+        """An event that never ends raises an error instead of using memory."""
         parser = TokenStreamParser(MARKER)
         with pytest.raises(BackendError):
             for _ in range(100):
