--- a/src/siskinpass/version/routes.py
+++ b/src/siskinpass/version/routes.py
@@ -99,8 +99,8 @@
     :param slots: requests that one engine runs concurrently.
     :param kv_capacity_tokens: tokens that the KV cache of one engine holds.
     :param kv_bytes_per_token: size of the KV cache entry of one token.
-    :param supports_kv_backup: whether the KV cache of a running request can be
-        copied to another engine.
+    :param supports_kv_backup: whether the KV cache of a request can be copied
+        while the request runs.
     """
 
     slots: int
