--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -156,7 +156,10 @@
         tier and target.
         """
         policy = self._policy
-        if server.load.unread_to(ticket.tier) > policy.max_unread_tokens:
+        if (
+            server.load.unread_at_or_above(ticket.tier)
+            > policy.max_unread_tokens
+        ):
             return False
         if ticket.is_tight:
             # Prefilling one prompt at a time lengthens the pauses of the
@@ -256,7 +259,7 @@
         name = server.view.name
         cached_tokens = self._cached[name]
         load = server.load
-        ahead = load.unread_to(self._ticket.tier)
+        ahead = load.unread_at_or_above(self._ticket.tier)
         behind = sum(load.unread) - ahead
         cost = ahead + behind * policy.lower_tier_weight
         cost += self._ticket.tokens_in - cached_tokens
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -17,7 +17,6 @@
 from siskinpass.process.placement import Chooser, ServerTable
 from siskinpass.process.preemption import choose_moves, choose_pauses
 from siskinpass.process.throughput import GrantRate
-from siskinpass.request.order import WaitingTickets
 from siskinpass.request.ticket import (
     ClockTicked,
     Command,
@@ -34,6 +33,7 @@
     TicketOpened,
     TicketWithdrawn,
 )
+from siskinpass.request.ticket_queue import WaitingTickets
 
 MS_PER_S = 1000
 MIN_RETRY_MS = 200
@@ -189,16 +189,16 @@
             self._table.mark_slow(self._now_s)
             self._move_from_slow()
         for ticket in self._waiting:
-            if ticket.gives_up_s <= self._now_s and not ticket.resumed:
+            if ticket.expires_s <= self._now_s and not ticket.resumed:
                 self._refuse(ticket, Code.wait_too_long)
         self._demand.tick(self._now_s)
 
     def _admit(self, ticket: Ticket) -> bool:
         wait_s = self._expected_wait_s(ticket)
-        if wait_s > ticket.patience_s:
+        if wait_s > ticket.max_wait_s:
             self._reply_refused(ticket, Code.wait_too_long, wait_s)
             return False
-        if self._waiting.fresh < self._policy.max_queued:
+        if self._waiting.unstarted < self._policy.max_queued:
             return True
         lowest = self._waiting.lowest()
         if lowest is None or lowest.tier <= ticket.tier:
@@ -208,7 +208,7 @@
         return True
 
     def _expected_wait_s(self, ticket: Ticket) -> float:
-        ahead = self._waiting.count_above(ticket.tier)
+        ahead = self._waiting.count_at_or_above(ticket.tier)
         return self._rate.wait_s(ticket.tier, ahead, self._now_s)
 
     def _refuse(self, ticket: Ticket, code: Code) -> None:
@@ -221,14 +221,14 @@
         code: Code,
         wait_s: float,
     ) -> None:
-        excess_s = max(0, wait_s - ticket.patience_s / 2)
+        excess_s = max(0, wait_s - ticket.max_wait_s / 2)
         retry_ms = MIN_RETRY_MS + int(excess_s * MS_PER_S)
         self._commands.append(
             Refused(ticket.ticket_id, ticket.entry, code, retry_ms),
         )
 
     def _dispatch(self) -> None:
-        self._waiting.move_late(self._now_s + self._table.first_token_s)
+        self._waiting.demote_late(self._now_s + self._table.first_token_s)
         owed = True
         while owed:
             owed = self._grant_owed()
@@ -236,7 +236,7 @@
             self._dispatch_tier(tier)
 
     def _grant_owed(self) -> bool:
-        tier = self._waiting.owed_tier()
+        tier = self._waiting.tier_with_credit()
         if tier is None:
             return False
         ticket = self._waiting.first(tier)
@@ -244,7 +244,7 @@
 
     def _dispatch_tier(self, tier: int) -> None:
         budget = self._free_slots_for(tier)
-        for ticket in self._waiting.first_of(tier, MAX_CANDIDATES):
+        for ticket in self._waiting.next_tickets(tier, MAX_CANDIDATES):
             if budget <= 0:
                 break
             budget -= self._grant(ticket, owed=False)
@@ -285,7 +285,7 @@
 
     def _pause_for(self, tier: int) -> None:
         """Pause streams below a tier, one per ticket waiting in or above it."""
-        waiting = self._waiting.count_above(tier)
+        waiting = self._waiting.count_at_or_above(tier)
         for grant in choose_pauses(self._grants.running, tier, waiting):
             grant.ending = True
             self._commands.append(
--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -8,10 +8,10 @@
 from siskinpass.connection.backend import AnswerSink, BackendConnection
 from siskinpass.exceptions import BackendError
 from siskinpass.platform.headers import decode_answer
-from siskinpass.request.events import EventTap
+from siskinpass.request.events import EventStreamParser
 from siskinpass.request.inbound import AnswerHead, Header
-from siskinpass.request.resend import Ending
-from siskinpass.request.silence import SilenceLimits
+from siskinpass.request.resend import AttemptOutcome
+from siskinpass.request.timeouts import AttemptTimeouts
 
 # The server closes an idle connection after the keep-alive time that it states.
 # The connection is not reused in the last part of that time, because a request
@@ -41,7 +41,7 @@
     :param cause: reason of the failure, for the log.
     """
 
-    ending: Ending | None
+    ending: AttemptOutcome | None
     head: AnswerHead | None = None
     body: bytes = b''
     cause: str = ''
@@ -56,7 +56,7 @@
     """Sink that checks an answer and forwards the events of a stream.
 
     :param call_id: request id that the answer must carry.
-    :param tap: splits the stream into events and counts them over all attempts;
+    :param parser: splits the stream into events and counts them over all attempts;
         ``None`` for an answer that is delivered in one piece.
     :param writer: receives complete events.
     """
@@ -64,11 +64,11 @@
     def __init__(
         self,
         call_id: str,
-        tap: EventTap | None,
+        parser: EventStreamParser | None,
         writer: EventWriter,
     ) -> None:
         self._call_id = call_id
-        self._tap = tap
+        self._parser = parser
         self._writer = writer
         self._head: AnswerHead | None = None
         self._body = bytearray()
@@ -85,7 +85,7 @@
     @property
     def has_begun(self) -> bool:
         """Return whether an event was sent to the caller, on any attempt."""
-        return self._tap is not None and self._tap.count > 0
+        return self._parser is not None and self._parser.count > 0
 
     def start(self, connection: BackendConnection, request: bytes) -> None:
         """Send the request and start to measure the server's silence."""
@@ -99,7 +99,7 @@
         if connection is not None:
             connection.cancel()
 
-    async def wait(self, limits: SilenceLimits | None) -> AttemptResult:
+    async def wait(self, limits: AttemptTimeouts | None) -> AttemptResult:
         """Wait for the end of the attempt.
 
         An attempt that exceeds a limit is aborted and counts as failed.
@@ -129,7 +129,7 @@
         if self._connection is not None and head.idle_s:
             idle_s = head.idle_s - IDLE_MARGIN_S
             self._connection.idle_s = max(MIN_IDLE_S, idle_s)
-        if self._tap is not None and head.is_success and not self._rejection:
+        if self._parser is not None and head.is_success and not self._rejection:
             self._is_streaming = True
         return True
 
@@ -143,7 +143,7 @@
             self._body += piece
             return
         try:
-            events = self._tap.feed(piece, self._loop.time())
+            events = self._parser.feed(piece, self._loop.time())
         except BackendError as error:
             self._abort(str(error))
             return
@@ -165,12 +165,12 @@
         """End an attempt whose connection failed."""
         self._connection = None
         if self._head is not None and self._head.not_run:
-            self._end(AttemptResult(Ending.declined, self._head))
+            self._end(AttemptResult(AttemptOutcome.declined, self._head))
         else:
             self._end(self._failure_result(str(error) or 'closed'))
 
     def _end_stream(self) -> None:
-        if self._tap.is_whole and self._tap.count:
+        if self._parser.is_whole and self._parser.count:
             self._writer.begin(self._head)
             self._end(AttemptResult(None, self._head))
         else:
@@ -179,20 +179,20 @@
     def _end_body(self) -> None:
         body = bytes(self._body)
         if self._head.not_run:
-            self._end(AttemptResult(Ending.declined, self._head, body))
+            self._end(AttemptResult(AttemptOutcome.declined, self._head, body))
         elif self._head.is_success:
             self._end(AttemptResult(None, self._head, body))
         else:
-            self._end(AttemptResult(Ending.failed, self._head, body))
+            self._end(AttemptResult(AttemptOutcome.failed, self._head, body))
 
     def _abort(self, cause: str) -> None:
         self.cancel()
         self._end(self._failure_result(cause))
 
     def _failure_result(self, cause: str) -> AttemptResult:
-        if self._tap is not None:
-            self._tap.drop_partial()
-        ending = Ending.cut if self.has_begun else Ending.lost
+        if self._parser is not None:
+            self._parser.drop_partial()
+        ending = AttemptOutcome.cut if self.has_begun else AttemptOutcome.lost
         return AttemptResult(ending, self._head, cause=cause)
 
     def _end(self, outcome: AttemptResult) -> None:
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -18,9 +18,9 @@
     Event,
     Granted,
     GrantReleased,
-    PeerLoadsTold,
+    PeerLoadsReported,
+    PrefillCompleted,
     PromptPlaced,
-    PromptRead,
     Refused,
     ServerLoad,
     ServersListed,
@@ -105,23 +105,23 @@
 
     def note_prompt_read(self, ticket: Ticket) -> None:
         """Remove the prompt from the prefill work of the ticket's server."""
-        self._apply(ticket.pool, PromptRead(ticket.ticket_id))
+        self._apply(ticket.pool, PrefillCompleted(ticket.ticket_id))
 
     def release(
         self,
         ticket: Ticket,
         *,
         failed: bool,
-        erred: bool = False,
+        server_error: bool = False,
     ) -> None:
         """Release the ticket's slot; releasing it twice has no effect.
 
         :param failed: whether the server could not be reached or gave no
             complete and valid answer.
-        :param erred: whether the server answered with an error.
+        :param server_error: whether the server answered with an error.
         """
         if self._acquisitions.pop(ticket.ticket_id, None) is not None:
-            released = GrantReleased(ticket.ticket_id, failed, erred)
+            released = GrantReleased(ticket.ticket_id, failed, server_error)
             self._apply(ticket.pool, released)
 
     def set_servers(self, views: Iterable[ServerView]) -> None:
@@ -144,7 +144,7 @@
     def set_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
         """Replace the load of the other instances, by server."""
         for pool in self._brokers:
-            self._apply(pool, PeerLoadsTold(loads))
+            self._apply(pool, PeerLoadsReported(loads))
 
     def record_placement(self, placed: PromptPlaced) -> None:
         """Record a prompt that another instance placed on a server.
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -27,15 +27,21 @@
     REQUEST_REFUSED,
     STREAM_CUT,
 )
-from siskinpass.request.events import EventTap
+from siskinpass.request.events import EventStreamParser
 from siskinpass.request.inbound import (
     AnswerHead,
-    SendOrder,
+    SendContext,
     WireRequest,
 )
-from siskinpass.request.resend import Ending, Sends, Step, decide, give_up
-from siskinpass.request.silence import silence_limits
+from siskinpass.request.resend import (
+    AttemptOutcome,
+    NextStep,
+    SendCounts,
+    decide_next_step,
+    final_step,
+)
 from siskinpass.request.ticket import ServerView, Ticket
+from siskinpass.request.timeouts import attempt_timeouts
 from siskinpass.version.routes import (
     Route,
     RouteTable,
@@ -111,8 +117,8 @@
         self._call = decode_call(request)
         self._number = number
         self._started_s = caller.arrived_s
-        self._sends = Sends()
-        self._tap: EventTap | None = None
+        self._sends = SendCounts()
+        self._parser: EventStreamParser | None = None
         self._in_flight = False
         self._has_begun = False
         self._avoid = ''
@@ -165,10 +171,10 @@
             self._refuse(Code.unknown_path)
             return
         workspace = table.workspace_of(self._call.key)
-        if workspace is None and table.needs_keys and not route.is_open:
+        if workspace is None and table.needs_keys and not route.is_public:
             self._refuse(Code.unknown_key)
             return
-        if not table.needs_keys or route.is_open:
+        if not table.needs_keys or route.is_public:
             workspace = None
         await self._serve(route, workspace, table)
 
@@ -178,13 +184,13 @@
         workspace: Workspace | None,
         table: RouteTable,
     ) -> None:
-        patience_s = self._call.patience_s or DEFAULT_TIMEOUT_S
-        deadline_s = self._started_s + min(patience_s, route.timeout_s)
-        service = route.service_at(random.random())
+        caller_timeout_s = self._call.caller_timeout_s or DEFAULT_TIMEOUT_S
+        deadline_s = self._started_s + min(caller_timeout_s, route.timeout_s)
+        service = route.pick_service(random.random())
         self._context.note_request(service)
         self._route_name = route.name
         if route.is_stream:
-            self._tap = EventTap(self._started_s)
+            self._parser = EventStreamParser(self._started_s)
         plan = _Plan(route, workspace, service, deadline_s, table)
         try:
             async with asyncio.timeout_at(deadline_s):
@@ -200,7 +206,7 @@
                 return
             step = self._next_step(plan, outcome)
             self._log_step(plan, outcome, step)
-            if step not in {Step.resend, Step.resume}:
+            if step not in {NextStep.resend, NextStep.resume}:
                 self._finish(step, outcome)
                 return
             self._context.metrics.retried(_RETRY_CODES[outcome.ending])
@@ -227,8 +233,10 @@
         ending = outcome.ending if outcome else None
         self._context.assigner.release(
             ticket,
-            failed=ending in {Ending.unsent, Ending.lost, Ending.cut},
-            erred=ending in {Ending.failed, Ending.declined},
+            failed=ending
+            in {AttemptOutcome.unsent, AttemptOutcome.lost, AttemptOutcome.cut},
+            server_error=ending
+            in {AttemptOutcome.failed, AttemptOutcome.declined},
         )
 
     async def _send(
@@ -243,24 +251,25 @@
                 fresh=False,
             )
         except ConnectError as error:
-            return AttemptResult(Ending.unsent, cause=str(error))
-        receiver = AnswerReceiver(self._call.call_id, self._tap, self)
-        order = SendOrder(
+            return AttemptResult(AttemptOutcome.unsent, cause=str(error))
+        receiver = AnswerReceiver(self._call.call_id, self._parser, self)
+        context = SendContext(
             server=view.name,
-            left_s=plan.deadline_s - _now_s(),
+            remaining_s=plan.deadline_s - _now_s(),
             workspace=plan.workspace.name if plan.workspace else '',
             urgency=engine_urgency(ticket.tier),
-            resume_after=self._resume_after(plan.route),
+            last_event_id=self._last_event_id(plan.route),
         )
-        if order.left_s < MIN_ATTEMPT_S:
+        if context.remaining_s < MIN_ATTEMPT_S:
             connection.cancel()
             return AttemptResult(
-                Ending.unsent, cause='too little time left for an attempt'
+                AttemptOutcome.unsent,
+                cause='too little time left for an attempt',
             )
         with self._cancel_on_exit(receiver):
-            receiver.start(connection, encode_send(self._call, order))
+            receiver.start(connection, encode_send(self._call, context))
             return await receiver.wait(
-                silence_limits(plan.route, self._sends),
+                attempt_timeouts(plan.route, self._sends),
             )
 
     @contextmanager
@@ -281,23 +290,23 @@
             self._caller.on_flow = None
         self._in_flight = False
 
-    def _next_step(self, plan: '_Plan', outcome: AttemptResult) -> Step:
-        if outcome.ending in {Ending.unsent, Ending.declined}:
-            self._sends = Sends(self._sends.run, self._sends.not_run + 1)
+    def _next_step(self, plan: '_Plan', outcome: AttemptResult) -> NextStep:
+        if outcome.ending in {AttemptOutcome.unsent, AttemptOutcome.declined}:
+            self._sends = SendCounts(self._sends.run, self._sends.not_run + 1)
         else:
-            self._sends = Sends(self._sends.run + 1, self._sends.not_run)
-        step = decide(plan.route, outcome.ending, self._sends)
-        if step in {Step.resend, Step.resume} and not self._may_retry(
+            self._sends = SendCounts(self._sends.run + 1, self._sends.not_run)
+        step = decide_next_step(plan.route, outcome.ending, self._sends)
+        if step in {NextStep.resend, NextStep.resume} and not self._may_retry(
             plan,
             outcome,
         ):
-            return give_up(outcome.ending, has_run=self._sends.run > 0)
+            return final_step(outcome.ending, has_run=self._sends.run > 0)
         return step
 
     def _may_retry(self, plan: '_Plan', outcome: AttemptResult) -> bool:
         if plan.deadline_s - _now_s() < MIN_ATTEMPT_S:
             return False
-        if outcome.ending is Ending.unsent:
+        if outcome.ending is AttemptOutcome.unsent:
             return True
         return self._context.may_retry(plan.service)
 
@@ -311,14 +320,14 @@
         self._record_answer()
 
     def _record_answer(self) -> None:
-        metrics, tap = self._context.metrics, self._tap
-        events = tap.count if tap else 0
-        first_ms = tap.first_ms if tap else 0
-        pause_ms = tap.pause_ms if tap else 0
+        metrics, parser = self._context.metrics, self._parser
+        events = parser.count if parser else 0
+        first_ms = parser.first_ms if parser else 0
+        pause_ms = parser.pause_ms if parser else 0
         age_s = self._age_s()
         metrics.answered(self._route_name, events)
         metrics.ended(self._route_name, ANSWERED, age_s)
-        if tap is not None:
+        if parser is not None:
             metrics.streamed(
                 self._route_name,
                 first_ms / MS_PER_S,
@@ -334,14 +343,14 @@
             age_ms=_in_ms(age_s),
         )
 
-    def _finish(self, step: Step, outcome: AttemptResult) -> None:
-        if self._has_begun or step is Step.cut:
+    def _finish(self, step: NextStep, outcome: AttemptResult) -> None:
+        if self._has_begun or step is NextStep.cut:
             self._cut(Code.stream_cut)
-        elif step is Step.pass_on and not outcome.head.promises_not_run:
+        elif step is NextStep.pass_on and not outcome.head.implies_not_run:
             self._caller.answer(
                 outcome.head.status, outcome.head.headers, outcome.body
             )
-        elif step is Step.tell_not_run:
+        elif step is NextStep.tell_not_run:
             self._refuse(Code.no_backend_server)
         else:
             self._refuse(Code.outcome_unknown)
@@ -413,7 +422,7 @@
         )
 
     def _log_step(
-        self, plan: '_Plan', outcome: AttemptResult, step: Step
+        self, plan: '_Plan', outcome: AttemptResult, step: NextStep
     ) -> None:
         self._context.log.note(
             ATTEMPT_FAILED,
@@ -428,11 +437,11 @@
             age_ms=_in_ms(self._age_s()),
         )
 
-    def _resume_after(self, route: Route) -> str:
+    def _last_event_id(self, route: Route) -> str:
         if not route.is_resumable:
             return ''
-        own = self._tap.last_id if self._tap else ''
-        return own or self._call.resume_after
+        own = self._parser.last_id if self._parser else ''
+        return own or self._call.last_event_id
 
     def _age_s(self) -> float:
         return _now_s() - self._started_s
@@ -462,11 +471,11 @@
 
 STATUS_UNAVAILABLE = 503
 _RETRY_CODES = MappingProxyType({
-    Ending.unsent: Code.retry_connect_failed,
-    Ending.declined: Code.retry_backend_leaving,
-    Ending.failed: Code.retry_backend_failed,
-    Ending.lost: Code.retry_reset,
-    Ending.cut: Code.retry_stream_cut,
+    AttemptOutcome.unsent: Code.retry_connect_failed,
+    AttemptOutcome.declined: Code.retry_backend_leaving,
+    AttemptOutcome.failed: Code.retry_backend_failed,
+    AttemptOutcome.lost: Code.retry_reset,
+    AttemptOutcome.cut: Code.retry_stream_cut,
 })
 
 
--- a/src/siskinpass/process/fleet/tickets.py
+++ b/src/siskinpass/process/fleet/tickets.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from siskinpass.request.inbound import Call, Prompt
+from siskinpass.request.inbound import InboundRequest, Prompt
 from siskinpass.request.ticket import PromptPiece, Ticket
 from siskinpass.version.routes import Route, RouteTable
 
@@ -45,7 +45,7 @@
 
 
 def make_ticket(
-    call: Call,
+    call: InboundRequest,
     plan: Plan,
     attempt: Attempt,
 ) -> Ticket:
@@ -61,7 +61,7 @@
         tier=plan.tier,
         opened_s=attempt.now_s,
         target_s=route.target_s,
-        patience_s=remaining_s * WAIT_FRACTION,
+        max_wait_s=remaining_s * WAIT_FRACTION,
         share=SHARE,
         pieces=hash_parts(prompt),
         pausable=False,
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -18,9 +18,9 @@
     GrantReleased,
     GrantReported,
     LoadEvent,
-    PeerLoadsTold,
+    PeerLoadsReported,
+    PrefillCompleted,
     PromptPlaced,
-    PromptRead,
     ServerLoad,
     ServersListed,
     Ticket,
@@ -96,7 +96,7 @@
         server = self._table.find(grant.server)
         if server is not None:
             server.add(-grant.load)
-            is_failure = event.failed or event.erred
+            is_failure = event.failed or event.server_error
             server.update_failure_rate(now_s, is_failure=is_failure)
             server.update_ejection(now_s, failed=event.failed)
         return grant.ticket
@@ -110,7 +110,9 @@
         raise TypeError(event)
 
     @_handle_event.register
-    def _handle_prompt_read(self, event: PromptRead, now_s: float) -> None:
+    def _handle_prompt_read(
+        self, event: PrefillCompleted, now_s: float
+    ) -> None:
         grant = self._running.get(event.ticket_id)
         if grant is None:
             return
@@ -129,7 +131,9 @@
             server.schedule_prefill(event.unread, event, now_s)
 
     @_handle_event.register
-    def _handle_peer_loads(self, event: PeerLoadsTold, now_s: float) -> None:
+    def _handle_peer_loads(
+        self, event: PeerLoadsReported, now_s: float
+    ) -> None:
         self._table.set_peer_loads(event.loads)
 
     @_handle_event.register
--- a/src/siskinpass/process/streams.py
+++ b/src/siskinpass/process/streams.py
@@ -6,7 +6,7 @@
 from siskinpass.codes import Code
 from siskinpass.exceptions import BackendError
 from siskinpass.process.dispatcher import Dispatcher
-from siskinpass.request.stream import TokenTap
+from siskinpass.request.stream import TokenStreamParser
 from siskinpass.request.ticket import TokensObserved
 
 SWEEP_INTERVAL_S = 0.1
@@ -23,14 +23,14 @@
 class MonitoredAttempt(Protocol):
     """Interface that the monitor needs of an attempt.
 
-    :ivar tap: counts the tokens of a stream, ``None`` for a whole answer.
+    :ivar parser: counts the tokens of a stream, ``None`` for a whole answer.
     :ivar sent_s: when the request was sent.
     :ivar stalled_s: since when the caller does not read, 0 while it reads.
     """
 
     pool: str
     server: str
-    tap: TokenTap | None
+    parser: TokenStreamParser | None
     sent_s: float
     stalled_s: float
 
@@ -47,7 +47,7 @@
     __slots__ = ('first_reported', 'last_s', 'token_s', 'tokens')
 
     def __init__(self, attempt: MonitoredAttempt) -> None:
-        self.tokens = attempt.tap.tokens if attempt.tap else 0
+        self.tokens = attempt.parser.tokens if attempt.parser else 0
         self.last_s = attempt.sent_s
         self.token_s = 0.0
         self.first_reported = False
@@ -132,10 +132,10 @@
             self._dispatcher.observe(pool, speed.observed(server))
 
     def _measure(self, attempt: MonitoredAttempt, progress: _Progress) -> None:
-        tap = attempt.tap
-        if tap is None or attempt.stalled_s:
+        parser = attempt.parser
+        if parser is None or attempt.stalled_s:
             return
-        count = tap.tokens - progress.tokens
+        count = parser.tokens - progress.tokens
         if count <= 0:
             return
         first_s = 0.0
@@ -146,9 +146,9 @@
             first_s = max(0.0, attempt.first_token_s - attempt.sent_s)
             progress.last_s = attempt.first_token_s
             count -= 1
-        token_s = (tap.last_s - progress.last_s) / count if count else 0.0
+        token_s = (parser.last_s - progress.last_s) / count if count else 0.0
         progress.token_s = token_s or progress.token_s
-        progress.tokens, progress.last_s = tap.tokens, tap.last_s
+        progress.tokens, progress.last_s = parser.tokens, parser.last_s
         key = (attempt.pool, attempt.server)
         speed = self._speeds.get(key)
         if speed is None:
@@ -166,7 +166,7 @@
             if now_s - attempt.stalled_s > CALLER_STALL_TIMEOUT_S:
                 attempt.drop_caller()
             return
-        if attempt.tap is None:
+        if attempt.parser is None:
             silent_s, timeout_s = now_s - attempt.sent_s, WHOLE_ANSWER_TIMEOUT_S
         elif progress.first_reported:
             silent_s = now_s - progress.last_s
--- a/src/siskinpass/request/resend.py
+++ b/src/siskinpass/request/resend.py
@@ -1,23 +1,24 @@
-"""Decide what follows when an attempt on a backend server ended.
+"""Decide how to continue after an attempt on a backend server has ended.
 
-Pure logic. It answers for two promises under any load and fault: work that may
-not be repeated runs at most once, and "not run" is only said when it is true.
+Pure logic without I/O. It upholds two guarantees under any load and fault:
+work that must not be repeated runs at most once, and a caller is only told
+"not run" if that is certain.
 """
 
 import enum
 from dataclasses import dataclass
 
-from siskinpass.version.routes import Repeat, Route
+from siskinpass.version.routes import RepeatPolicy, Route
 
 
-class Ending(enum.Enum):
-    """Tell how an attempt ended.
+class AttemptOutcome(enum.Enum):
+    """How an attempt on a backend server ended.
 
     ``unsent``: no byte of the request reached a server.
     ``declined``: the server states that it did not run the request.
-    ``failed``: the server answered with a failure of its own, whole.
-    ``lost``: it is not known whether the request ran.
-    ``cut``: the answer broke off after a part of it was passed on.
+    ``failed``: the server sent a complete error response.
+    ``lost``: it is unknown whether the request ran.
+    ``cut``: the response broke off after part of it was passed on.
     """
 
     unsent = 'unsent'
@@ -27,15 +28,15 @@
     cut = 'cut'
 
 
-class Step(enum.Enum):
-    """Tell what to do next.
+class NextStep(enum.Enum):
+    """What the router does after an attempt.
 
     ``resend``: send the request to another server.
-    ``resume``: go on with the stream at another server.
-    ``pass_on``: give the caller the server's own failure.
-    ``tell_not_run``: say that the request did not run, and when to return.
-    ``tell_unknown``: say that the outcome is not known.
-    ``cut``: close the caller's connection without the end mark.
+    ``resume``: continue the stream from another server.
+    ``pass_on``: pass the server's error response on to the caller.
+    ``tell_not_run``: answer that the request did not run, and when to retry.
+    ``tell_unknown``: answer that the outcome is unknown.
+    ``cut``: close the caller's connection without ending the stream properly.
     """
 
     resend = 'resend'
@@ -46,45 +47,55 @@
     cut = 'cut'
 
 
-# Sends that were not run cost the caller little; three cover a server that
-# left, one that is full and one whose address has a new owner.
-NOT_RUN_SENDS_MOST = 3
+# A send that was not run costs the caller little time. Three of them cover a
+# server that is gone, one that is full and one whose address was reassigned.
+MAX_NOT_RUN_SENDS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Sends:
-    """Count the sends of one request so far.
+class SendCounts:
+    """Numbers of sends of one request so far.
 
     :param run: sends that a server ran or may have run.
-    :param not_run: sends that surely were not run.
+    :param not_run: sends that certainly were not run.
     """
 
     run: int = 0
     not_run: int = 0
 
 
-def decide(route: Route, ending: Ending, sends: Sends) -> Step:
-    """Return the next step, were there time and budget for another send."""
-    if ending in {Ending.unsent, Ending.declined}:
-        if sends.not_run < NOT_RUN_SENDS_MOST:
-            return Step.resend
-        return give_up(ending, has_run=sends.run > 0)
-    if not route.may_repeat or sends.run >= route.attempts_most:
-        return give_up(ending, has_run=True)
-    if ending is Ending.cut:
-        return Step.resume if route.is_resumable else Step.cut
-    if ending is Ending.failed and route.repeat is not Repeat.idempotent:
-        return Step.pass_on
-    return Step.resend
-
-
-def give_up(ending: Ending, *, has_run: bool) -> Step:
-    """Return how to end a request that is not sent again.
+def decide_next_step(
+    route: Route, ending: AttemptOutcome, sends: SendCounts
+) -> NextStep:
+    """Return the next step, assuming time and budget for another send.
 
+    :param ending: how the last attempt ended.
+    :param sends: all sends so far, the last attempt included.
+    """
+    if ending in {AttemptOutcome.unsent, AttemptOutcome.declined}:
+        if sends.not_run < MAX_NOT_RUN_SENDS:
+            return NextStep.resend
+        return final_step(ending, has_run=sends.run > 0)
+    if not route.may_repeat or sends.run >= route.max_attempts:
+        return final_step(ending, has_run=True)
+    if ending is AttemptOutcome.cut:
+        return NextStep.resume if route.is_resumable else NextStep.cut
+    if (
+        ending is AttemptOutcome.failed
+        and route.repeat is not RepeatPolicy.idempotent
+    ):
+        return NextStep.pass_on
+    return NextStep.resend
+
+
+def final_step(ending: AttemptOutcome, *, has_run: bool) -> NextStep:
+    """Return the step that ends a request without another send.
+
+    :param ending: how the last attempt ended.
     :param has_run: whether this or an earlier send may have run.
     """
-    if ending is Ending.cut:
-        return Step.cut
-    if ending is Ending.failed:
-        return Step.pass_on
-    return Step.tell_unknown if has_run else Step.tell_not_run
+    if ending is AttemptOutcome.cut:
+        return NextStep.cut
+    if ending is AttemptOutcome.failed:
+        return NextStep.pass_on
+    return NextStep.tell_unknown if has_run else NextStep.tell_not_run
--- a/src/siskinpass/request/stream.py
+++ b/src/siskinpass/request/stream.py
@@ -1,27 +1,28 @@
-"""Follow the events of one stream, so that it can be checked and resumed.
+"""Incremental parser of token streams, so that they are checked and resumable.
 
-Pure logic. Only whole events are passed on; a piece of one is held back, so
-that a stream that breaks off can go on elsewhere at the next token.
+Pure logic without I/O. Only complete events are passed on and partial ones are
+buffered, so that a stream that breaks off can be continued from another
+backend server at the next token.
 """
 
 from siskinpass.codes import Code
 from siskinpass.exceptions import BackendError
 
 EVENT_END = b'\n\n'
-DONE = b'data: [DONE]\n\n'
-HELD_BYTES_MOST = 262_144
+DONE_EVENT = b'data: [DONE]\n\n'
+MAX_BUFFERED_BYTES = 262_144
 
 
-class TokenTap:
-    """Count the tokens of one stream and check whom they are for."""
+class TokenStreamParser:
+    """Counts the tokens of one stream and checks that they belong to it."""
 
     def __init__(self, marker: bytes) -> None:
         """Start before the first token.
 
-        :param marker: bytes that each event of this request must hold.
+        :param marker: bytes that each event of this request must contain.
         """
         self._marker = marker
-        self._held = b''
+        self._buffer = b''
         self._tokens = 0
         self._done = False
         self._first_s = 0.0
@@ -29,29 +30,32 @@
 
     @property
     def tokens(self) -> int:
-        """Return how many tokens were passed on, over all attempts."""
+        """Return the number of tokens passed on, over all attempts."""
         return self._tokens
 
     @property
     def done(self) -> bool:
-        """Return whether the end marker came."""
+        """Return whether the end marker ``[DONE]`` has arrived."""
         return self._done
 
     @property
     def first_s(self) -> float:
-        """Return when the first token came, 0 before it."""
+        """Return the time at which the first token arrived, 0 before it."""
         return self._first_s
 
     @property
     def last_s(self) -> float:
-        """Return when the latest token came, 0 before the first."""
+        """Return the time of the latest token, 0 before the first."""
         return self._last_s
 
     def feed(self, piece: bytes, now_s: float) -> bytes:
-        """Take in bytes of a backend server and return those to pass on.
+        """Parse bytes from a backend server and return those to pass on.
 
-        :raises BackendError: where an event is for another request, or
-            where bytes follow the end marker.
+        :param piece: the bytes, cut anywhere.
+        :param now_s: the clock in seconds.
+        :returns: the events that are now complete, empty for none.
+        :raises BackendError: where an event belongs to another request, where
+            an event follows the end marker, or where one is too large.
         """
         whole = self._whole_events(piece)
         if not whole:
@@ -59,7 +63,7 @@
         if self._done:
             raise BackendError(Code.answer_crossed, 'bytes after the end')
         events = whole.count(EVENT_END)
-        ended = whole.endswith(DONE)
+        ended = whole.endswith(DONE_EVENT)
         if ended:
             events -= 1
         if whole.count(self._marker) != events:
@@ -72,24 +76,24 @@
         return whole
 
     def drop_partial(self) -> None:
-        """Forget a piece of an event that broke off."""
-        self._held = b''
+        """Discard the buffered part of an event that broke off."""
+        self._buffer = b''
 
     def _whole_events(self, piece: bytes) -> bytes:
-        if self._held:
-            piece = self._held + piece
-            self._held = b''
+        if self._buffer:
+            piece = self._buffer + piece
+            self._buffer = b''
         if piece.endswith(EVENT_END):
             return piece
         cut = piece.rfind(EVENT_END)
         if cut < 0:
-            self._hold(piece)
+            self._keep_partial(piece)
             return b''
         cut += len(EVENT_END)
-        self._hold(piece[cut:])
+        self._keep_partial(piece[cut:])
         return piece[:cut]
 
-    def _hold(self, piece: bytes) -> None:
-        if len(piece) > HELD_BYTES_MOST:
+    def _keep_partial(self, piece: bytes) -> None:
+        if len(piece) > MAX_BUFFERED_BYTES:
             raise BackendError(Code.backend_error, 'an event is too large')
-        self._held = piece
+        self._buffer = piece
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -7,7 +7,7 @@
     decode_call,
     encode_send,
 )
-from siskinpass.request.inbound import SendOrder, WireRequest
+from siskinpass.request.inbound import SendContext, WireRequest
 
 FORGED = (
     b'X-Hold',
@@ -44,7 +44,7 @@
                 (b'Authorization', b'Bearer key'),
             ),
         )
-        assert (call.call_id, call.patience_s, call.key) == (
+        assert (call.call_id, call.caller_timeout_s, call.key) == (
             'id-1',
             1.5,
             'key',
@@ -64,13 +64,13 @@
     def test_unreadable_headers_count_as_missing(self, name, text):
         """No header of a caller can fail its decoding."""
         call = decode_call(request((name, text)))
-        assert (call.patience_s, call.prompt.tokens_in) == (0.0, 0)
+        assert (call.caller_timeout_s, call.prompt.tokens_in) == (0.0, 0)
 
     @pytest.mark.parametrize('name', FORGED)
     def test_forged_system_headers_are_dropped(self, name):
         """What only this system sets never comes from a caller."""
         call = decode_call(request((name, b'forged')))
-        wire = encode_send(call, SendOrder('i-1', 1.0))
+        wire = encode_send(call, SendContext('i-1', 1.0))
         assert b'forged' not in wire
 
     def test_connection_headers_are_dropped(self):
@@ -88,7 +88,7 @@
     def test_sends_method_path_and_body_unchanged(self):
         """The request is the caller's, with the orders of this system."""
         call = decode_call(request((b'X-Attempt-Id', b'id-1')))
-        wire = encode_send(call, SendOrder('i-1', 0.25, 'w', urgency=0))
+        wire = encode_send(call, SendContext('i-1', 0.25, 'w', urgency=0))
         head, _, body = wire.partition(b'\r\n\r\n')
         lines = head.split(b'\r\n')
         assert lines[0] == b'POST /p/x?q=1 HTTP/1.1'
--- a/tests/test_resend.py
+++ b/tests/test_resend.py
@@ -1,4 +1,4 @@
-"""Test what follows when an attempt ended."""
+"""Test retry decisions, attempt time-outs and the retry budget."""
 
 import itertools
 
@@ -7,20 +7,20 @@
 from hypothesis import strategies as st
 
 from siskinpass.request.resend import (
-    NOT_RUN_SENDS_MOST,
-    Ending,
-    Sends,
-    Step,
-    decide,
-    give_up,
+    MAX_NOT_RUN_SENDS,
+    AttemptOutcome,
+    NextStep,
+    SendCounts,
+    decide_next_step,
+    final_step,
 )
-from siskinpass.request.retry_window import USED_PART, RetryWindow
-from siskinpass.request.silence import silence_limits
-from siskinpass.version.routes import Repeat, Route, Share
+from siskinpass.request.retry_window import USED_FRACTION, RetryWindow
+from siskinpass.request.timeouts import attempt_timeouts
+from siskinpass.version.routes import RepeatPolicy, Route, Share
 
 
 def route(repeat, attempts=2, **more):
-    """Return a route."""
+    """Return a route with the given rules for repetition."""
     return Route(
         'r',
         'h',
@@ -29,101 +29,151 @@
         (Share('s', 1),),
         15.0,
         0.2,
-        attempts_most=attempts,
+        max_attempts=attempts,
         **more,
     )
 
 
-IDEMPOTENT = route(Repeat.idempotent)
-ONCE = route(Repeat.once)
-STREAM = route(Repeat.stream)
-RESUMABLE = route(Repeat.stream, is_resumable=True)
-SINGLE = route(Repeat.idempotent, attempts=1)
+IDEMPOTENT = route(RepeatPolicy.idempotent)
+ONCE = route(RepeatPolicy.once)
+STREAM = route(RepeatPolicy.stream)
+RESUMABLE = route(RepeatPolicy.stream, is_resumable=True)
+SINGLE = route(RepeatPolicy.idempotent, attempts=1)
 
 
-class TestDecide:
-    """Test the table of steps."""
+class TestDecideNextStep:
+    """Test the next step after an attempt."""
 
     @pytest.mark.parametrize(
         ('kind', 'ending', 'sends', 'step'),
         [
-            (ONCE, Ending.unsent, Sends(0, 1), Step.resend),
-            (ONCE, Ending.declined, Sends(0, 1), Step.resend),
-            (ONCE, Ending.declined, Sends(0, 3), Step.tell_not_run),
-            (ONCE, Ending.lost, Sends(1, 0), Step.tell_unknown),
-            (ONCE, Ending.failed, Sends(1, 0), Step.pass_on),
-            (STREAM, Ending.lost, Sends(1, 0), Step.tell_unknown),
-            (STREAM, Ending.cut, Sends(1, 0), Step.cut),
-            (RESUMABLE, Ending.cut, Sends(1, 0), Step.resume),
-            (RESUMABLE, Ending.lost, Sends(1, 0), Step.resend),
-            (RESUMABLE, Ending.cut, Sends(2, 0), Step.cut),
-            (RESUMABLE, Ending.declined, Sends(1, 3), Step.tell_unknown),
-            (RESUMABLE, Ending.failed, Sends(1, 0), Step.pass_on),
-            (IDEMPOTENT, Ending.failed, Sends(1, 0), Step.resend),
-            (IDEMPOTENT, Ending.failed, Sends(2, 0), Step.pass_on),
-            (IDEMPOTENT, Ending.lost, Sends(1, 0), Step.resend),
-            (SINGLE, Ending.lost, Sends(1, 0), Step.tell_unknown),
+            (ONCE, AttemptOutcome.unsent, SendCounts(0, 1), NextStep.resend),
+            (ONCE, AttemptOutcome.declined, SendCounts(0, 1), NextStep.resend),
+            (
+                ONCE,
+                AttemptOutcome.declined,
+                SendCounts(0, 3),
+                NextStep.tell_not_run,
+            ),
+            (
+                ONCE,
+                AttemptOutcome.lost,
+                SendCounts(1, 0),
+                NextStep.tell_unknown,
+            ),
+            (ONCE, AttemptOutcome.failed, SendCounts(1, 0), NextStep.pass_on),
+            (
+                STREAM,
+                AttemptOutcome.lost,
+                SendCounts(1, 0),
+                NextStep.tell_unknown,
+            ),
+            (STREAM, AttemptOutcome.cut, SendCounts(1, 0), NextStep.cut),
+            (RESUMABLE, AttemptOutcome.cut, SendCounts(1, 0), NextStep.resume),
+            (RESUMABLE, AttemptOutcome.lost, SendCounts(1, 0), NextStep.resend),
+            (RESUMABLE, AttemptOutcome.cut, SendCounts(2, 0), NextStep.cut),
+            (
+                RESUMABLE,
+                AttemptOutcome.declined,
+                SendCounts(1, 3),
+                NextStep.tell_unknown,
+            ),
+            (
+                RESUMABLE,
+                AttemptOutcome.failed,
+                SendCounts(1, 0),
+                NextStep.pass_on,
+            ),
+            (
+                IDEMPOTENT,
+                AttemptOutcome.failed,
+                SendCounts(1, 0),
+                NextStep.resend,
+            ),
+            (
+                IDEMPOTENT,
+                AttemptOutcome.failed,
+                SendCounts(2, 0),
+                NextStep.pass_on,
+            ),
+            (
+                IDEMPOTENT,
+                AttemptOutcome.lost,
+                SendCounts(1, 0),
+                NextStep.resend,
+            ),
+            (
+                SINGLE,
+                AttemptOutcome.lost,
+                SendCounts(1, 0),
+                NextStep.tell_unknown,
+            ),
         ],
     )
     def test_table(self, kind, ending, sends, step):
-        """Each ending of each kind has one step."""
-        assert decide(kind, ending, sends) is step
+        """Route, outcome and sends so far determine the step."""
+        assert decide_next_step(kind, ending, sends) is step
 
     @pytest.mark.parametrize(
         ('kind', 'endings'),
         [
             (kind, endings)
             for kind in (IDEMPOTENT, ONCE, STREAM, RESUMABLE, SINGLE)
-            for endings in itertools.product(Ending, repeat=4)
+            for endings in itertools.product(AttemptOutcome, repeat=4)
         ],
     )
-    def test_promises_hold_over_any_endings(self, kind, endings):
-        """Runs are bounded, and "not run" is only said when it is true."""
-        sends = Sends()
+    def test_guarantees_hold_for_any_outcomes(self, kind, endings):
+        """Runs are limited, and "not run" is only stated when it is true."""
+        sends = SendCounts()
         for ending in endings:
-            unrun = ending in {Ending.unsent, Ending.declined}
-            sends = Sends(sends.run + (not unrun), sends.not_run + unrun)
-            step = decide(kind, ending, sends)
-            if step not in {Step.resend, Step.resume}:
+            is_not_run = ending in {
+                AttemptOutcome.unsent,
+                AttemptOutcome.declined,
+            }
+            sends = SendCounts(
+                sends.run + (not is_not_run), sends.not_run + is_not_run
+            )
+            step = decide_next_step(kind, ending, sends)
+            if step not in {NextStep.resend, NextStep.resume}:
                 break
-        most = kind.attempts_most if kind.may_repeat else 1
+        most = kind.max_attempts if kind.may_repeat else 1
         assert sends.run <= most
-        assert sends.not_run <= NOT_RUN_SENDS_MOST
-        if step is Step.tell_not_run:
+        assert sends.not_run <= MAX_NOT_RUN_SENDS
+        if step is NextStep.tell_not_run:
             assert sends.run == 0
 
-    @pytest.mark.parametrize('ending', Ending)
-    def test_giving_up_after_a_run_never_says_not_run(self, ending):
-        """An earlier send that may have run is remembered."""
-        assert give_up(ending, has_run=True) is not Step.tell_not_run
+    @pytest.mark.parametrize('ending', AttemptOutcome)
+    def test_final_step_after_a_run_is_not_tell_not_run(self, ending):
+        """No outcome hides that an earlier send may have run."""
+        assert final_step(ending, has_run=True) is not NextStep.tell_not_run
 
 
-class TestSilence:
-    """Test when silence ends an attempt."""
+class TestAttemptTimeouts:
+    """Test which attempts have time-outs."""
 
     @pytest.mark.parametrize(
-        ('kind', 'sends', 'is_bound'),
+        ('kind', 'sends', 'has_timeouts'),
         [
-            (IDEMPOTENT, Sends(), True),
-            (RESUMABLE, Sends(), True),
-            (IDEMPOTENT, Sends(1, 0), False),
-            (SINGLE, Sends(), False),
-            (ONCE, Sends(), False),
-            (STREAM, Sends(), False),
+            (IDEMPOTENT, SendCounts(), True),
+            (RESUMABLE, SendCounts(), True),
+            (IDEMPOTENT, SendCounts(1, 0), False),
+            (SINGLE, SendCounts(), False),
+            (ONCE, SendCounts(), False),
+            (STREAM, SendCounts(), False),
         ],
     )
-    def test_only_repeatable_work_is_taken_elsewhere(
+    def test_only_repeatable_work_has_timeouts(
         self,
         kind,
         sends,
-        is_bound,
+        has_timeouts,
     ):
-        """Silence is waited out where no other server may run the work."""
-        assert (silence_limits(kind, sends) is not None) is is_bound
+        """No time-outs apply where no other server may run the work."""
+        assert (attempt_timeouts(kind, sends) is not None) is has_timeouts
 
 
 class TestRetryWindow:
-    """Test that all instances together keep the operator's bound."""
+    """Test that all instances together keep to the operator's limit."""
 
     @given(
         st.lists(
@@ -136,7 +186,7 @@
         ),
     )
     def test_bound_holds_without_messages(self, events):
-        """In each window the sends beyond the first stay under the bound."""
+        """Retries in any window stay under the limit without communication."""
         ratio, slack, window_s, instances = 0.2, 12.0, 10.0, 4
         windows = [RetryWindow(ratio, slack, window_s) for _ in range(4)]
         now_s = 0.0
@@ -151,10 +201,10 @@
             first_s = now_s - window_s
             counted = sum(at >= first_s for at in requests)
             used = sum(at >= first_s for at in spent)
-            assert used <= USED_PART * (ratio * counted + slack) + 1e-6
+            assert used <= USED_FRACTION * (ratio * counted + slack) + 1e-6
 
-    def test_budget_comes_back_as_the_window_slides(self):
-        """What was spent long ago counts no more."""
+    def test_budget_recovers_as_the_window_slides(self):
+        """Retries older than the window no longer count."""
         window = RetryWindow(0.2, 2.5, 10.0)
         assert [window.spend(0.0, 1) for _ in range(3)] == [True, True, False]
         assert window.spend(10.1, 1)
