--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -56,8 +56,8 @@
     """Sink that checks an answer and forwards the events of a stream.
 
     :param call_id: request id that the answer must carry.
-    :param parser: splits the stream into events and counts them over all attempts;
-        ``None`` for an answer that is delivered in one piece.
+    :param parser: splits the stream into events and counts them over all
+        attempts; ``None`` for an answer that is delivered in one piece.
     :param writer: receives complete events.
     """
 
