--- a/bench/broken.py
+++ b/bench/broken.py
@@ -87,12 +87,12 @@
 def break_whole() -> None:
     """Take a stream that broke off for whole."""
 
-    def take_failure(self, error) -> None:
+    def receive_failure(self, error) -> None:
         self._connection = None
         if not self.finished.done():
             self.finished.set_result(None)
 
-    Attempt.take_failure = take_failure
+    Attempt.receive_failure = receive_failure
 
 
 def break_truth() -> None:
--- a/src/siskinpass/cli_client.py
+++ b/src/siskinpass/cli_client.py
@@ -58,19 +58,19 @@
             ) from error
         document = answer.json()
         if answer.status != STATUS_OK:
-            raise _told_error(document)
+            raise _remote_error(document)
         return document
 
 
-class ToldError(SiskinpassError):
+class RemoteError(SiskinpassError):
     """An instance answered with a numbered error."""
 
 
-def _told_error(document: Any) -> ToldError:
+def _remote_error(document: Any) -> RemoteError:
     error = document['error']
     changed = [
         f'  {change["path"]}: {change["old"]!r} -> {change["new"]!r}'
         for change in error.get('changed', ())
     ]
     detail = '\n'.join((error['message'], *changed))
-    return ToldError(Code(error['code']), detail)
+    return RemoteError(Code(error['code']), detail)
--- a/src/siskinpass/connection/backend.py
+++ b/src/siskinpass/connection/backend.py
@@ -10,37 +10,39 @@
 import httptools
 
 from siskinpass.codes import Code
-from siskinpass.connection.sockets import SocketTimes, tune_socket
+from siskinpass.connection.sockets import SocketTimeouts, tune_socket
 from siskinpass.exceptions import BackendError, ConnectError
 from siskinpass.request.inbound import Header
 
 CONNECT_TIMEOUT_S = 1.0
 IDLE_KEPT_S = 8.0
-IDLE_KEPT_MOST = 64
+MAX_IDLE_PER_SERVER = 64
 STATUS_OK = 200
 STATUSES_WITHOUT_BODY = frozenset((204, 304))
 SILENT_MS = 3000
 # A backend server that acknowledges nothing for as long as callers wait for
 # the next event of a stream is as good as gone.
-BACKEND_TIMES = SocketTimes(idle_s=2, every_s=1, probes=2, user_ms=SILENT_MS)
+BACKEND_SOCKET_TIMEOUTS = SocketTimeouts(
+    idle_s=2, interval_s=1, probes=2, user_timeout_ms=SILENT_MS
+)
 
 
 class AnswerSink(Protocol):
     """Take in the answer of a backend server."""
 
-    def take_head(self, status: int, headers: tuple[Header, ...]) -> bool:
+    def receive_head(self, status: int, headers: tuple[Header, ...]) -> bool:
         """Take in status and headers as they were spelled.
 
         :returns: whether the answer is for this sink; another one is skipped.
         """
 
-    def take_piece(self, piece: bytes) -> None:
+    def receive_body(self, piece: bytes) -> None:
         """Take in a piece of the body."""
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         """Take in that the answer is whole."""
 
-    def take_failure(self, error: BackendError) -> None:
+    def receive_failure(self, error: BackendError) -> None:
         """Take in that the answer broke off."""
 
 
@@ -77,7 +79,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
         self._transport = transport
-        tune_socket(transport, BACKEND_TIMES)
+        tune_socket(transport, BACKEND_SOCKET_TIMEOUTS)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell the sink that the answer broke off."""
@@ -149,12 +151,12 @@
             return
         headers = tuple(self._headers)
         self._ends_at_close = _ends_at_close(status, headers)
-        self._is_skipping = not self._sink.take_head(status, headers)
+        self._is_skipping = not self._sink.receive_head(status, headers)
 
     def on_body(self, piece: bytes) -> None:
         """Pass a piece on."""
         if self._sink is not None and not self._is_skipping:
-            self._sink.take_piece(piece)
+            self._sink.receive_body(piece)
 
     def on_message_complete(self) -> None:
         """Pass the end on."""
@@ -168,7 +170,7 @@
     def _end(self) -> None:
         sink, self._sink = self._sink, None
         if sink is not None:
-            sink.take_end()
+            sink.receive_end()
 
     def _settle(self) -> None:
         """Give the connection back once an answer is whole."""
@@ -182,7 +184,7 @@
     def _fail(self, error: BackendError) -> None:
         sink, self._sink = self._sink, None
         if sink is not None:
-            sink.take_failure(error)
+            sink.receive_failure(error)
 
 
 def _ends_at_close(status: int, headers: tuple[Header, ...]) -> bool:
@@ -203,7 +205,7 @@
 
     connect_s: float = CONNECT_TIMEOUT_S
     idle_s: float = IDLE_KEPT_S
-    idle_most: int = IDLE_KEPT_MOST
+    max_idle: int = MAX_IDLE_PER_SERVER
 
 
 class BackendPool:
@@ -268,7 +270,7 @@
 
     def _keep(self, address: str, connection: BackendConnection) -> None:
         kept = self._idle.setdefault(address, [])
-        if len(kept) >= self._policy.idle_most:
+        if len(kept) >= self._policy.max_idle:
             connection.cancel()
             return
         idle_s = min(self._policy.idle_s, connection.idle_s)
--- a/src/siskinpass/connection/dialect.py
+++ b/src/siskinpass/connection/backend_requests.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineTerms:
+class EngineOptions:
     """Hold what an engine is told beside the caller's own fields.
 
     :param priority: order in the engine's queue, 0 goes first.
@@ -24,11 +24,11 @@
     resume_from: int
 
 
-def engine_request(
+def encode_engine_request(
     call: Call,
     request_id: str,
     host: str,
-    terms: EngineTerms,
+    terms: EngineOptions,
 ) -> bytes:
     """Return a call to a model engine, always streamed."""
     fields = {
@@ -42,7 +42,7 @@
     return _post(call.path, host, orjson.dumps(fields), request_id)
 
 
-def service_request(call: Call, request_id: str, host: str) -> bytes:
+def encode_service_request(call: Call, request_id: str, host: str) -> bytes:
     """Return a call to a plain service."""
     return _post(quote(call.service_path), host, call.body, request_id)
 
@@ -52,7 +52,7 @@
     return b'"id":"%b"' % request_id.encode()
 
 
-def assemble(events: bytes, *, chat: bool) -> bytes:
+def assemble_answer(events: bytes, *, chat: bool) -> bytes:
     """Return the whole answer that the events of a stream amount to."""
     documents = [
         orjson.loads(event.removeprefix(b'data: '))
--- a/src/siskinpass/connection/caller.py
+++ b/src/siskinpass/connection/caller.py
@@ -6,9 +6,9 @@
 from typing import Protocol
 
 from siskinpass.codes import Code
-from siskinpass.connection.deadline import Deadline
-from siskinpass.connection.parsing import HEADER_BYTES_MOST, Parsed
+from siskinpass.connection.parsing import MAX_HEADER_BYTES, ParseResult
 from siskinpass.connection.sockets import tune_socket
+from siskinpass.connection.timer import Timer
 from siskinpass.exceptions import RequestError
 from siskinpass.request.answer import error_answer
 from siskinpass.request.head import BodyNeeded, PageAnswer, RequestHead
@@ -20,12 +20,12 @@
 BODY_BYTES_MOST = 4_194_304
 PIPELINED_BYTES_MOST = 65_536
 WRITE_BYTES_HIGH = 262_144
-CHUNKS_END = b'0\r\n\r\n'
+LAST_CHUNK = b'0\r\n\r\n'
 
-Parse = Callable[[bytes, str, Callable[[Parsed], None]], None]
+Parse = Callable[[bytes, str, Callable[[ParseResult], None]], None]
 
 
-class Flow(Protocol):
+class WritableCallback(Protocol):
     """Take in that the caller reads again, or does not."""
 
     def __call__(self, *, on: bool) -> None:
@@ -56,11 +56,11 @@
         self._busy = False
         self._wanted = 0
         self._body: asyncio.Future[bytes] | None = None
-        self._deadline = Deadline(loop, self._expire)
+        self._timer = Timer(loop, self._expire)
         self._reading = True
         self._ended = False
         self.on_lost: Callable[[], None] | None = None
-        self.on_flow: Flow | None = None
+        self.on_writable: WritableCallback | None = None
 
     @property
     def is_open(self) -> bool:
@@ -72,11 +72,11 @@
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_BYTES_HIGH)
         tune_socket(transport)
-        self._deadline.start(IDLE_TIMEOUT_S)
+        self._timer.start(IDLE_TIMEOUT_S)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell whoever answers that the caller went away."""
-        self._deadline.clear()
+        self._timer.clear()
         if self._body is not None and not self._body.done():
             self._body.set_exception(RequestError(Code.body_cut_short))
         if self.on_lost is not None:
@@ -95,7 +95,7 @@
     def data_received(self, piece: bytes) -> None:
         """Take in bytes and look for a whole head or body."""
         if not self._arrived and not self._busy:
-            self._deadline.start(HEAD_TIMEOUT_S)
+            self._timer.start(HEAD_TIMEOUT_S)
         self._arrived += piece
         if self._body is not None:
             self._look_for_body()
@@ -107,13 +107,13 @@
 
     def pause_writing(self) -> None:
         """Slow down whoever answers."""
-        if self.on_flow is not None:
-            self.on_flow(on=False)
+        if self.on_writable is not None:
+            self.on_writable(on=False)
 
     def resume_writing(self) -> None:
         """Let whoever answers go on."""
-        if self.on_flow is not None:
-            self.on_flow(on=True)
+        if self.on_writable is not None:
+            self.on_writable(on=True)
 
     def read_body(self, length: int) -> asyncio.Future[bytes]:
         """Return a future of the body.
@@ -126,7 +126,7 @@
         if length > BODY_BYTES_MOST:
             self._body.set_exception(RequestError(Code.body_too_large))
         else:
-            self._deadline.start(BODY_TIMEOUT_S)
+            self._timer.start(BODY_TIMEOUT_S)
             self._look_for_body()
         return self._body
 
@@ -141,13 +141,13 @@
     def finish(self, *, keep_alive: bool) -> None:
         """End an answer; close, or go on to the next request."""
         self.on_lost = None
-        self.on_flow = None
+        self.on_writable = None
         self._body = None
         if not keep_alive:
             self._transport.close()
             return
         self._busy = False
-        self._deadline.start(IDLE_TIMEOUT_S)
+        self._timer.start(IDLE_TIMEOUT_S)
         if not self._reading:
             self._reading = True
             self._transport.resume_reading()
@@ -165,19 +165,19 @@
     def abort_after_write(self) -> None:
         """Close without the last chunk, so that a cut is seen as cut."""
         self.on_lost = None
-        self.on_flow = None
+        self.on_writable = None
         self._transport.close()
 
     def _look_for_head(self) -> None:
         end = self._arrived.find(HEAD_END)
         if end >= 0:
             self._start(end + len(HEAD_END))
-        elif len(self._arrived) > HEADER_BYTES_MOST:
+        elif len(self._arrived) > MAX_HEADER_BYTES:
             self._refuse(Code.header_too_large)
 
     def _start(self, head_length: int) -> None:
         self._busy = True
-        self._deadline.clear()
+        self._timer.clear()
         self._ask_parser(self._take_arrived(head_length))
 
     def _take_arrived(self, length: int) -> bytes:
@@ -195,7 +195,7 @@
         )
         self._parse(arrived, remote[0] if remote else '', reply)
 
-    def _take_parsed(self, head: bytes, parsed: Parsed) -> None:
+    def _take_parsed(self, head: bytes, parsed: ParseResult) -> None:
         if not self.is_open:
             return
         if isinstance(parsed, RequestHead):
@@ -231,7 +231,7 @@
             if self._ended:
                 self._body.set_exception(RequestError(Code.body_cut_short))
             return
-        self._deadline.clear()
+        self._timer.clear()
         self._body.set_result(self._take_arrived(self._wanted))
 
     def _refuse(self, code: Code) -> None:
--- a/src/siskinpass/connection/whole_answer.py
+++ b/src/siskinpass/connection/fetch.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class FetchedAnswer:
     """Hold one answer."""
 
     status: int
@@ -25,24 +25,24 @@
         self._status = 0
         self._pieces = bytearray()
         loop = asyncio.get_running_loop()
-        self.finished: asyncio.Future[WholeAnswer] = loop.create_future()
+        self.finished: asyncio.Future[FetchedAnswer] = loop.create_future()
 
-    def take_head(self, status: int, headers: tuple[Header, ...]) -> bool:
+    def receive_head(self, status: int, headers: tuple[Header, ...]) -> bool:
         """Take in the status."""
         self._status = status
         return True
 
-    def take_piece(self, piece: bytes) -> None:
+    def receive_body(self, piece: bytes) -> None:
         """Take in a piece of the body."""
         self._pieces += piece
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         """Hand the answer out."""
         if not self.finished.done():
-            answer = WholeAnswer(self._status, bytes(self._pieces))
+            answer = FetchedAnswer(self._status, bytes(self._pieces))
             self.finished.set_result(answer)
 
-    def take_failure(self, error: BackendError) -> None:
+    def receive_failure(self, error: BackendError) -> None:
         """Hand the failure out."""
         if not self.finished.done():
             self.finished.set_exception(error)
@@ -53,7 +53,7 @@
     address: str,
     request: bytes,
     timeout_s: float,
-) -> WholeAnswer:
+) -> FetchedAnswer:
     """Send a request and return its answer.
 
     A connection without a whole answer is closed, as nothing further is due
--- a/src/siskinpass/connection/http_caller.py
+++ b/src/siskinpass/connection/http_caller.py
@@ -9,20 +9,20 @@
 import httptools
 
 from siskinpass.codes import MEANINGS, Code
-from siskinpass.connection.deadline import Deadline
 from siskinpass.connection.sockets import tune_socket
+from siskinpass.connection.timer import Timer
 from siskinpass.request.inbound import Header, WireRequest
 from siskinpass.version.routes import CallerLimits
 
 PIPELINED_MOST = 16  # requests that wait behind the one in progress
 WRITE_BYTES_HIGH = 262_144
 WRITE_TIMEOUT_S = 30.0  # as long as the longest route keeps a caller waiting
-CHUNKS_END = b'0\r\n\r\n'
+LAST_CHUNK = b'0\r\n\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 CLOSE_HEADER = (b'Connection', b'close')
 
 
-class Flow(Protocol):
+class WritableCallback(Protocol):
     """Take in that the caller reads again, or does not."""
 
     def __call__(self, *, on: bool) -> None:
@@ -118,7 +118,7 @@
         self._limits = limits
         self._serve = serve
         self._collector = RequestCollector(self._ask_continue)
-        self._deadline = Deadline(loop, self._expire)
+        self._timer = Timer(loop, self._expire)
         self._fault: Code | None = None
         self._method = b''
         self._keeps = True
@@ -126,7 +126,7 @@
         self.is_leaving = False
         self.arrived_s = 0.0
         self.on_lost: Callable[[], None] | None = None
-        self.on_flow: Flow | None = None
+        self.on_writable: WritableCallback | None = None
 
     @property
     def is_open(self) -> bool:
@@ -143,11 +143,11 @@
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_BYTES_HIGH)
         tune_socket(transport)
-        self._deadline.start(self._limits().idle_timeout_s)
+        self._timer.start(self._limits().idle_timeout_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell whoever answers that the caller went away."""
-        self._deadline.clear()
+        self._timer.clear()
         if self.on_lost is not None:
             self.on_lost()
 
@@ -158,7 +158,7 @@
     def data_received(self, piece: bytes) -> None:
         """Take in bytes."""
         if not self.is_busy and not self._collector.received:
-            self._deadline.start(self._limits().head_timeout_s)
+            self._timer.start(self._limits().head_timeout_s)
         self._fault = self._collector.feed(piece) or self._fault
         self._check_bounds()
         if len(self._collector.whole) > PIPELINED_MOST:
@@ -168,15 +168,15 @@
 
     def pause_writing(self) -> None:
         """Slow down whoever answers."""
-        self._deadline.start(WRITE_TIMEOUT_S)
-        if self.on_flow is not None:
-            self.on_flow(on=False)
+        self._timer.start(WRITE_TIMEOUT_S)
+        if self.on_writable is not None:
+            self.on_writable(on=False)
 
     def resume_writing(self) -> None:
         """Let whoever answers go on."""
-        self._deadline.clear()
-        if self.on_flow is not None:
-            self.on_flow(on=True)
+        self._timer.clear()
+        if self.on_writable is not None:
+            self.on_writable(on=True)
 
     def answer(
         self,
@@ -207,10 +207,10 @@
 
     def end_stream(self) -> None:
         """End a stream as complete."""
-        self._transport.write(CHUNKS_END)
+        self._transport.write(LAST_CHUNK)
         self._finish(keeps=self._keeps_open())
 
-    def cut_stream(self) -> None:
+    def truncate_stream(self) -> None:
         """Close without the end mark, so that a cut is seen as cut."""
         self._finish(keeps=False)
 
@@ -236,7 +236,7 @@
 
     def _start_next(self) -> None:
         if self._collector.whole:
-            self._deadline.clear()
+            self._timer.clear()
             self.is_busy = True
             request = self._collector.whole.popleft()
             self._method = request.method
@@ -261,12 +261,12 @@
 
     def _finish(self, *, keeps: bool) -> None:
         self.on_lost = None
-        self.on_flow = None
+        self.on_writable = None
         self.is_busy = False
         if not keeps or not self.is_open:
             self._transport.close()
             return
-        self._deadline.start(self._limits().idle_timeout_s)
+        self._timer.start(self._limits().idle_timeout_s)
         if self._collector.whole or self._fault is not None:
             self._transport.resume_reading()
             asyncio.get_running_loop().call_soon(self._start_waiting)
--- a/src/siskinpass/connection/parsing.py
+++ b/src/siskinpass/connection/parsing.py
@@ -17,10 +17,10 @@
 from siskinpass.request.answer import error_answer
 from siskinpass.request.head import BodyNeeded, PageAnswer, RequestHead
 
-Parsed = RequestHead | PageAnswer | BodyNeeded
-Reply = Callable[[Parsed], None]
+ParseResult = RequestHead | PageAnswer | BodyNeeded
+Reply = Callable[[ParseResult], None]
 
-HEADER_BYTES_MOST = 16_384
+MAX_HEADER_BYTES = 16_384
 LATIN = 'latin-1'
 LENGTH = b'Content-Length'
 SINGLE_HEADERS = (
@@ -53,7 +53,7 @@
     ) -> None:
         """Prepare the threads; ``start_threads`` starts them."""
         super().__init__(('127.0.0.1', 0), application, threads)
-        self.max_request_header_size = HEADER_BYTES_MOST
+        self.max_request_header_size = MAX_HEADER_BYTES
         self.gateway = _choose_gateway
         self.relayed = relayed
         self.version = 'siskinpass'
@@ -105,7 +105,7 @@
         self.remote_addr = remote
         self.rfile = _Reader(arrived)
         self.wfile = _Writer()
-        self.outcome: Parsed | None = None
+        self.outcome: ParseResult | None = None
         self._reply = reply
 
     def communicate(self) -> bool:
--- a/src/siskinpass/connection/sockets.py
+++ b/src/siskinpass/connection/sockets.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SocketTimes:
+class SocketTimeouts:
     """Set when the kernel gives a silent peer up.
 
     :param idle_s: idle time before the first keep-alive probe.
@@ -16,17 +16,17 @@
     """
 
     idle_s: int = 10
-    every_s: int = 5
+    interval_s: int = 5
     probes: int = 3
-    user_ms: int = 20_000
+    user_timeout_ms: int = 20_000
 
 
-DEFAULT_TIMES = SocketTimes()
+DEFAULT_TIMES = SocketTimeouts()
 
 
 def tune_socket(
     transport: asyncio.BaseTransport,
-    times: SocketTimes = DEFAULT_TIMES,
+    times: SocketTimeouts = DEFAULT_TIMES,
 ) -> None:
     """Let the kernel notice a peer that went silent for good."""
     sock = transport.get_extra_info('socket')
@@ -35,7 +35,7 @@
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(tcp, socket.TCP_KEEPIDLE, times.idle_s)
-    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, times.every_s)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, times.interval_s)
     sock.setsockopt(tcp, socket.TCP_KEEPCNT, times.probes)
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, times.user_ms)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, times.user_timeout_ms)
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
--- a/src/siskinpass/connection/deadline.py
+++ b/src/siskinpass/connection/timer.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 
-class Deadline:
+class Timer:
     """Call back when the wait that was started last takes too long."""
 
     def __init__(
--- a/src/siskinpass/platform/check.py
+++ b/src/siskinpass/platform/check.py
@@ -7,13 +7,13 @@
 import yaml
 
 from siskinpass.exceptions import FormatError, SettingsError
-from siskinpass.platform.boot import decode_settings
 from siskinpass.platform.config import (
     decode_config,
     decode_route,
     decode_service,
     decode_workspace,
 )
+from siskinpass.platform.settings_file import decode_settings
 
 Decode = Callable[[Mapping[str, Any]], object]
 ROWS: tuple[tuple[str, Decode], ...] = (
--- a/src/siskinpass/platform/directory.py
+++ b/src/siskinpass/platform/directory.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class ResolutionQuery:
     """Ask which instances a caller should use.
 
     :param host: host that the caller wants to reach.
@@ -24,19 +24,19 @@
     zone: str
 
 
-def decode_question(target: str) -> Question | None:
+def decode_resolution_query(target: str) -> ResolutionQuery | None:
     """Return a caller's question, or none where the path is another."""
     parts = urlsplit(target)
     if parts.path != PATH:
         return None
     query = parse_qs(parts.query)
-    return Question(
+    return ResolutionQuery(
         query.get('name', [''])[0],
         query.get('zone', [''])[0],
     )
 
 
-def encode_answer(addresses: Iterable[str], keep_s: float) -> bytes:
+def encode_resolution(addresses: Iterable[str], keep_s: float) -> bytes:
     """Return the answer to a question."""
     return orjson.dumps({'addresses': list(addresses), 'ttl-s': keep_s})
 
--- a/src/siskinpass/platform/engines.py
+++ b/src/siskinpass/platform/engines.py
@@ -5,7 +5,7 @@
 from siskinpass.platform.fields import read_field, read_json_table
 from siskinpass.request.inbound import PromptPart
 
-KEPT_PARTS_CALL = b'GET /-/kv-list HTTP/1.1\r\nHost: engine\r\n\r\n'
+KEPT_PARTS_REQUEST = b'GET /-/kv-list HTTP/1.1\r\nHost: engine\r\n\r\n'
 # Each row: an empty text, the part's id, the tokens kept of it, the model.
 PART_ID = 1
 PART_TOKENS = 2
--- a/src/siskinpass/platform/workers.py
+++ b/src/siskinpass/platform/servers.py
@@ -8,11 +8,11 @@
 from siskinpass.platform.fields import as_table, read_field
 from siskinpass.request.ticket import ServerView
 
-WORKERS_KIND = 'servers'
+SERVERS_KIND = 'servers'
 STATES = ('ready', 'draining')
 
 
-def decode_worker(name: str, spec: Any) -> ServerView:
+def decode_server(name: str, spec: Any) -> ServerView:
     """Return the backend server that an entry describes.
 
     :param name: the entry's name, which is the server's id.
--- a/src/siskinpass/process/attempt.py
+++ b/src/siskinpass/process/attempt.py
@@ -59,7 +59,7 @@
         self.sent_s = self._loop.time()
         connection.send(request, self)
 
-    def take_head(self, status: int, headers: tuple[Header, ...]) -> bool:
+    def receive_head(self, status: int, headers: tuple[Header, ...]) -> bool:
         """Check the status."""
         self.status = status
         self.headers = {
@@ -73,7 +73,7 @@
             self.break_off(BackendError(code, f'status {status}'))
         return True
 
-    def take_piece(self, piece: bytes) -> None:
+    def receive_body(self, piece: bytes) -> None:
         """Pass on what may be passed on."""
         if self.finished.done():
             return
@@ -90,7 +90,7 @@
             self.first_token_s = self.first_token_s or now_s
             self._forward(whole)
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         """End the attempt; a stream without its end marker was cut."""
         self._connection = None
         if self.finished.done():
@@ -100,7 +100,7 @@
         else:
             self.finished.set_result(None)
 
-    def take_failure(self, error: BackendError) -> None:
+    def receive_failure(self, error: BackendError) -> None:
         """End the attempt."""
         self._connection = None
         if not self.finished.done():
--- a/src/siskinpass/process/fleet/__main__.py
+++ b/src/siskinpass/process/fleet/__main__.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from siskinpass.exceptions import SettingsError
-from siskinpass.platform.boot import SETTINGS_VARIABLE, read_settings
+from siskinpass.platform.settings_file import SETTINGS_VARIABLE, read_settings
 from siskinpass.process.fleet.serve import serve
 
 STATUS_WRONG = 2
--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -114,7 +114,7 @@
         if self._connection is not None:
             self._connection.set_reading(on=on)
 
-    def take_head(self, status: int, headers: tuple[Header, ...]) -> bool:
+    def receive_head(self, status: int, headers: tuple[Header, ...]) -> bool:
         """Check whose answer it is and what it says."""
         head = decode_answer(status, headers)
         if head.call_id and head.call_id != self._call_id:
@@ -128,7 +128,7 @@
             self._streams = True
         return True
 
-    def take_piece(self, piece: bytes) -> None:
+    def receive_body(self, piece: bytes) -> None:
         """Collect a body, or pass on the whole events of a stream."""
         self._heard_s = self._loop.time()
         self._has_signs = True
@@ -146,7 +146,7 @@
             self._writer.begin(self._head)
             self._writer.write(events)
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         """End the attempt."""
         self._connection = None
         if self._fault:
@@ -156,7 +156,7 @@
         else:
             self._end_body()
 
-    def take_failure(self, error: BackendError) -> None:
+    def receive_failure(self, error: BackendError) -> None:
         """End an attempt that broke off."""
         self._connection = None
         if self._head is not None and self._head.not_run:
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -253,12 +253,12 @@
     def _following(self, taker: AnswerTaker) -> Generator[None, None, None]:
         """Stop the server's work if the request ends before its answer."""
         self._in_flight = True
-        self._caller.on_flow = taker.set_flow
+        self._caller.on_writable = taker.set_flow
         try:
             yield
         finally:
             taker.cancel()
-            self._caller.on_flow = None
+            self._caller.on_writable = None
         self._in_flight = False
 
     def _next_step(self, plan: '_Plan', ended: Ended) -> Step:
@@ -345,7 +345,7 @@
 
     def _cut(self, code: Code) -> None:
         self._note(STREAM_CUT, code)
-        self._caller.cut_stream()
+        self._caller.truncate_stream()
 
     def _refuse(self, code: Code, retry_after_ms: int = 0) -> None:
         meaning = MEANINGS[code]
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -10,9 +10,9 @@
 
 from siskinpass.codes import Code
 from siskinpass.connection.backend import BackendPool
-from siskinpass.connection.whole_answer import fetch
+from siskinpass.connection.fetch import fetch
 from siskinpass.exceptions import BackendError, SiskinpassError
-from siskinpass.platform.engines import KEPT_PARTS_CALL, decode_kept_parts
+from siskinpass.platform.engines import KEPT_PARTS_REQUEST, decode_kept_parts
 from siskinpass.process.fleet.tickets import pieces_of
 from siskinpass.process.logs import PartLog
 from siskinpass.request.inbound import STATUS_OK, Prompt
@@ -75,7 +75,7 @@
         answer = await fetch(
             self._backends,
             address,
-            KEPT_PARTS_CALL,
+            KEPT_PARTS_REQUEST,
             self._answer_s,
         )
         if answer.status != STATUS_OK:
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -9,7 +9,7 @@
 from siskinpass.connection.http_caller import HttpCaller, Serve
 from siskinpass.platform import directory
 from siskinpass.platform.config import CONFIG_KIND
-from siskinpass.platform.workers import WORKERS_KIND
+from siskinpass.platform.servers import SERVERS_KIND
 from siskinpass.process.addresses import addresses_near
 from siskinpass.process.broker import BrokerPolicy
 from siskinpass.process.fleet.assigner import Assigner
@@ -35,7 +35,7 @@
 # Kept connections to backend servers are reused for long, new ones are dear;
 # the server's own Keep-Alive shortens this.
 IDLE_MOST = 64
-BACKEND_POOL = PoolPolicy(connect_s=1.0, idle_s=60.0, idle_most=IDLE_MOST)
+BACKEND_POOL = PoolPolicy(connect_s=1.0, idle_s=60.0, max_idle=IDLE_MOST)
 # A directory answer is kept for up to three times as long; the shorter, the
 # sooner callers leave an instance that stops.
 DIRECTORY_TTL_S = 1
@@ -137,7 +137,7 @@
         wait_s = watch_wait_s(self._settings.promises.contact_s)
         for kind, tell in (
             (CONFIG_KIND, self._state.take_config),
-            (WORKERS_KIND, self._state.take_workers),
+            (SERVERS_KIND, self._state.take_workers),
         ):
             self._start(KindWatch(self._store, kind, wait_s, tell).run())
         self._start(self._members.register())
@@ -253,12 +253,14 @@
         caller: HttpCaller,
         request: WireRequest,
     ) -> None:
-        asked = directory.decode_question(request.target.decode('latin-1'))
+        asked = directory.decode_resolution_query(
+            request.target.decode('latin-1')
+        )
         if asked is None:
             caller.answer(STATUS_NOT_FOUND)
             return
         told = addresses_near(self._members.serving, asked.zone)
-        body = directory.encode_answer(told, self._directory_s)
+        body = directory.encode_resolution(told, self._directory_s)
         caller.answer(STATUS_OK, (JSON,), body)
 
     def _note_store_call(self, call: str, outcome: str) -> None:
--- a/src/siskinpass/process/fleet/state.py
+++ b/src/siskinpass/process/fleet/state.py
@@ -6,7 +6,7 @@
 from siskinpass.exceptions import FormatError
 from siskinpass.platform.config import CONFIG_NAME, decode_config
 from siskinpass.platform.objects import StoredObject
-from siskinpass.platform.workers import decode_worker
+from siskinpass.platform.servers import decode_server
 from siskinpass.process.fleet.watch import Changed, Listed, Lost, News
 from siskinpass.process.logs import PartLog
 from siskinpass.process.server_book import ServerBook
@@ -118,7 +118,7 @@
     def _views(self, stored: Iterable[StoredObject]) -> Iterable[ServerView]:
         for entry in stored:
             try:
-                yield decode_worker(entry.name, entry.body)
+                yield decode_server(entry.name, entry.body)
             except FormatError as error:
                 self._log.warn(
                     'An entry names no server.',
--- a/src/siskinpass/process/fleet/store_client.py
+++ b/src/siskinpass/process/fleet/store_client.py
@@ -10,7 +10,7 @@
 
 from siskinpass.codes import Code
 from siskinpass.connection.backend import BackendPool, PoolPolicy
-from siskinpass.connection.whole_answer import WholeAnswer, fetch
+from siskinpass.connection.fetch import FetchedAnswer, fetch
 from siskinpass.exceptions import (
     BackendError,
     ConnectError,
@@ -114,12 +114,14 @@
 
     async def _read(
         self, call: str, path: str, timeout_s: float
-    ) -> WholeAnswer:
+    ) -> FetchedAnswer:
         answer = await self._noted(call, 'GET', path, b'', timeout_s)
         _check(answer, objects.STATUS_OK, objects.STATUS_GONE)
         return answer
 
-    async def _write(self, method: str, path: str, body: bytes) -> WholeAnswer:
+    async def _write(
+        self, method: str, path: str, body: bytes
+    ) -> FetchedAnswer:
         call = method.lower()
         return await self._noted(call, method, path, body, CALL_TIMEOUT_S)
 
@@ -130,7 +132,7 @@
         path: str,
         body: bytes,
         timeout_s: float,
-    ) -> WholeAnswer:
+    ) -> FetchedAnswer:
         request = self._encode(method, path, body)
         try:
             answer = await fetch(self._pool, self._address, request, timeout_s)
@@ -151,6 +153,6 @@
         return '\r\n'.join((*lines, '', '')).encode() + body
 
 
-def _check(answer: WholeAnswer, *allowed: int) -> None:
+def _check(answer: FetchedAnswer, *allowed: int) -> None:
     if answer.status not in allowed:
         raise StoreError(Code.store_down, f'status {answer.status}')
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -7,14 +7,14 @@
 
 from siskinpass.codes import Code, Ran
 from siskinpass.connection.backend import BackendPool
-from siskinpass.connection.caller import CHUNKS_END, CallerConnection
-from siskinpass.connection.dialect import (
-    EngineTerms,
-    assemble,
-    engine_request,
+from siskinpass.connection.backend_requests import (
+    EngineOptions,
+    assemble_answer,
+    encode_engine_request,
+    encode_service_request,
     event_marker,
-    service_request,
 )
+from siskinpass.connection.caller import LAST_CHUNK, CallerConnection
 from siskinpass.exceptions import (
     BackendError,
     ConnectError,
@@ -142,7 +142,7 @@
         """
         self._keep_alive = keep_alive
         self._caller.on_lost = self._lose_caller
-        self._caller.on_flow = self._set_flow
+        self._caller.on_writable = self._set_flow
         promise = self._call.promise
         self._tools.budget.earn(self._call.node, promise.retry_fraction)
         for number in range(ATTEMPTS_MOST):
@@ -259,15 +259,15 @@
     def _request(self, address: str) -> bytes:
         request_id = self.outcome.request_id
         if self._is_service:
-            return service_request(self._call, request_id, address)
+            return encode_service_request(self._call, request_id, address)
         priority = 0
         if self._tools.tells_priority:
             priority = self._call.promise.tier
-        return engine_request(
+        return encode_engine_request(
             self._call,
             request_id,
             address,
-            EngineTerms(priority, self._tap.tokens),
+            EngineOptions(priority, self._tap.tokens),
         )
 
     def _check_whole(self, attempt: Attempt) -> None:
@@ -309,7 +309,7 @@
         self._note_tokens()
         if self._call.stream and not self._is_service:
             self._start_stream()
-            self._caller.write(CHUNKS_END)
+            self._caller.write(LAST_CHUNK)
             return
         kept = b''.join(self._events)
         if self._is_service:
@@ -318,7 +318,7 @@
         else:
             chat = self._call.path == CHAT_PATH
             self.outcome.status = 200
-            self.outcome.body = assemble(kept, chat=chat)
+            self.outcome.body = assemble_answer(kept, chat=chat)
         headers = {
             'X-Request-Id': self.outcome.request_id,
             'X-Siskinpass-Ran': Ran.was_run.value,
--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -23,17 +23,17 @@
         self.skip = skip
         self.ended = asyncio.get_running_loop().create_future()
 
-    def take_head(self, status, headers):
+    def receive_head(self, status, headers):
         self.skip -= 1
         return self.skip < 0
 
-    def take_piece(self, piece):
+    def receive_body(self, piece):
         self.body += piece
 
-    def take_end(self):
+    def receive_end(self):
         self.ended.set_result('whole')
 
-    def take_failure(self, error):
+    def receive_failure(self, error):
         self.ended.set_result('cut')
 
 
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -7,10 +7,10 @@
 
 from siskinpass.exceptions import FormatError, SettingsError
 from siskinpass.platform import directory, objects
-from siskinpass.platform.boot import decode_settings
 from siskinpass.platform.check import find_faults
 from siskinpass.platform.config import decode_config
-from siskinpass.platform.workers import decode_worker
+from siskinpass.platform.servers import decode_server
+from siskinpass.platform.settings_file import decode_settings
 from siskinpass.process.membership import Member
 from siskinpass.version.routes import Repeat
 
@@ -183,13 +183,13 @@
 
     def test_reads_an_entry(self):
         """The entry's name is the server's id."""
-        view = decode_worker('i-1', WORKER)
+        view = decode_server('i-1', WORKER)
         assert (view.name, view.pool, view.slots) == ('i-1', 'lm', 64)
         assert (view.leaving, view.incarnation) == (False, 17)
 
     def test_draining_is_leaving(self):
         """A draining server gets nothing new."""
-        assert decode_worker('i-1', WORKER | {'state': 'draining'}).leaving
+        assert decode_server('i-1', WORKER | {'state': 'draining'}).leaving
 
     @pytest.mark.parametrize(
         'entry',
@@ -209,7 +209,7 @@
     def test_unreadable_entry_names_no_server(self, entry):
         """An entry of another writer is an error to its reader alone."""
         with pytest.raises(FormatError):
-            decode_worker('i-1', entry)
+            decode_server('i-1', entry)
 
 
 class TestObjects:
@@ -253,11 +253,11 @@
     )
     def test_reads_questions(self, target, zone):
         """The zone may be missing."""
-        assert directory.decode_question(target).zone == zone
+        assert directory.decode_resolution_query(target).zone == zone
 
     def test_other_paths_are_no_question(self):
         """Another path gets no answer."""
-        assert directory.decode_question('/other') is None
+        assert directory.decode_resolution_query('/other') is None
 
     def test_members_survive_the_store(self):
         """An instance is read back as it was written."""
