--- a/src/siskinpass/cli_explain.py
+++ b/src/siskinpass/cli_explain.py
@@ -15,9 +15,9 @@
 
     :param call_id: the caller's id of its attempt.
     """
-    told = tell_story(tuple(read_log(sys.stdin.buffer)), call_id)
-    for line in told:
+    story = tell_story(tuple(read_log(sys.stdin.buffer)), call_id)
+    for line in story:
         sys.stdout.write(f'{line}\n')
-    if not told:
+    if not story:
         sys.stderr.write('siskinpass: no line tells of this request\n')
         sys.exit(STATUS_UNKNOWN)
--- a/src/siskinpass/cli_status.py
+++ b/src/siskinpass/cli_status.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from siskinpass.cli_tree import DEFAULT, OperatorArgs, show
+from siskinpass.cli_tree import DEFAULT, OperatorArgs, print_document
 
 WATCH_EVERY_S = 1.0
 ROW = '{:<36}{:<11}{:>9}{:>9}{:>9}{:>9}  {}\n'
@@ -21,7 +21,7 @@
     while True:
         document = operator.call('GET', 'status')
         if json:
-            show(document, json=True)
+            print_document(document, json=True)
         else:
             sys.stdout.write(_table(document))
         if not watch:
@@ -30,10 +30,10 @@
 
 
 def _table(document: Mapping[str, Any]) -> str:
-    spread = 'everywhere'
+    reach = 'everywhere'
     if not document['in_force_everywhere']:
-        spread = f'not yet at {", ".join(document["behind"])}'
-    lines = [f'version {document["version"]}, in force {spread}\n']
+        reach = f'not yet at {", ".join(document["behind"])}'
+    lines = [f'version {document["version"]}, in force {reach}\n']
     for name, instance in sorted(document['instances'].items()):
         lines.append(
             f'  {name:<20}{instance["state"]:<10}{instance["zone"]:<14}'
--- a/src/siskinpass/cli_tree.py
+++ b/src/siskinpass/cli_tree.py
@@ -18,10 +18,10 @@
 
 OperatorArgs = Annotated[Operator, Parameter(name='*')]
 DEFAULT = Operator()
-BASE_LINE = '# version '
+BASE_PREFIX = '# version '
 
 
-def show(document: Any, *, json: bool) -> None:
+def print_document(document: Any, *, json: bool) -> None:
     """Print a document as YAML, or as JSON."""
     if json:
         text = orjson.dumps(document, option=orjson.OPT_INDENT_2).decode()
@@ -43,7 +43,7 @@
     """Print the tree, or the node at a path, of a version."""
     page = f'tree/{version}' if version else 'tree'
     answer = operator.call('GET', page)
-    show(get_node(answer['tree'], path), json=json)
+    print_document(get_node(answer['tree'], path), json=json)
 
 
 @tree_app.command(name='set')
@@ -61,7 +61,7 @@
     tree = answer['tree']
     set_leaf(tree, path, yaml.safe_load(leaf))
     message = message or f'set {path}'
-    _propose(operator, answer['version'], tree, author, message, json=json)
+    _submit_edit(operator, answer['version'], tree, author, message, json=json)
 
 
 @tree_app.command
@@ -83,7 +83,7 @@
     parse_tree(text)
     if base is None:
         base = operator.call('GET', 'tree')['version']
-    _propose(operator, base, text, author, message, json=json)
+    _submit_edit(operator, base, text, author, message, json=json)
 
 
 @tree_app.command
@@ -102,13 +102,13 @@
     """
     if path.exists():
         first, _, text = path.read_text().partition('\n')
-        base = int(first.removeprefix(BASE_LINE))
+        base = int(first.removeprefix(BASE_PREFIX))
         parse_tree(text)
-        _propose(operator, base, text, author, message, json=json)
+        _submit_edit(operator, base, text, author, message, json=json)
         return
     answer = operator.call('GET', 'tree')
     text = yaml.safe_dump(answer['tree'])
-    path.write_text(f'{BASE_LINE}{answer["version"]}\n{text}')
+    path.write_text(f'{BASE_PREFIX}{answer["version"]}\n{text}')
     sys.stdout.write(f'Change {path} and run the same command again.\n')
 
 
@@ -128,7 +128,7 @@
 ) -> None:
     """Print what changed from one version to another."""
     changes = operator.call('GET', f'diff?old={old}&new={new}')
-    show(changes, json=json)
+    print_document(changes, json=json)
 
 
 @tree_app.command
@@ -138,7 +138,7 @@
     json: bool = False,
 ) -> None:
     """Print the latest edits."""
-    show(operator.call('GET', 'history'), json=json)
+    print_document(operator.call('GET', 'history'), json=json)
 
 
 @tree_app.command
@@ -153,7 +153,7 @@
     current = operator.call('GET', 'tree')['version']
     tree = operator.call('GET', f'tree/{version}')['tree']
     message = f'rollback to {version}'
-    _propose(operator, current, tree, author, message, json=json)
+    _submit_edit(operator, current, tree, author, message, json=json)
 
 
 def key_command(*, default_class: str = '', json: bool = False) -> None:
@@ -167,10 +167,10 @@
             'default_class': entry.default_class,
         },
     }
-    show(document, json=json)
+    print_document(document, json=json)
 
 
-def _propose(
+def _submit_edit(
     operator: Operator,
     base: int,
     tree: Any,
@@ -185,4 +185,4 @@
         'author': author or os.environ.get('USER', ''),
         'message': message,
     })
-    show(operator.call('PUT', 'tree', body), json=json)
+    print_document(operator.call('PUT', 'tree', body), json=json)
--- a/src/siskinpass/connection/backend.py
+++ b/src/siskinpass/connection/backend.py
@@ -15,15 +15,15 @@
 from siskinpass.request.inbound import Header
 
 CONNECT_TIMEOUT_S = 1.0
-IDLE_KEPT_S = 8.0
+IDLE_TIMEOUT_S = 8.0
 MAX_IDLE_PER_SERVER = 64
 STATUS_OK = 200
 STATUSES_WITHOUT_BODY = frozenset((204, 304))
-SILENT_MS = 3000
+UNACKED_TIMEOUT_MS = 3000
 # A backend server that acknowledges nothing for as long as callers wait for
 # the next event of a stream is as good as gone.
 BACKEND_SOCKET_TIMEOUTS = SocketTimeouts(
-    idle_s=2, interval_s=1, probes=2, user_timeout_ms=SILENT_MS
+    idle_s=2, interval_s=1, probes=2, user_timeout_ms=UNACKED_TIMEOUT_MS
 )
 
 
@@ -51,25 +51,25 @@
 
     def __init__(
         self,
-        keep: Callable[['BackendConnection'], None],
-        forget: Callable[['BackendConnection'], None],
+        on_idle: Callable[['BackendConnection'], None],
+        on_closed: Callable[['BackendConnection'], None],
     ) -> None:
         """Wait for the connection.
 
         :param keep: takes the connection back after a whole answer.
         :param forget: told that the connection is closed.
         """
-        self._keep = keep
-        self._forget = forget
+        self._on_idle = on_idle
+        self._on_closed = on_closed
         self._sink: AnswerSink | None = None
         self._headers: list[Header] = []
         self._parser = httptools.HttpResponseParser(self)
         self._is_skipping = False
-        self._is_spoiled = False
+        self._has_unsolicited_answer = False
         self._ends_at_close = False
         self._is_reusable = False
         self.idle_until_s = 0.0
-        self.idle_s = IDLE_KEPT_S
+        self.idle_s = IDLE_TIMEOUT_S
 
     @property
     def is_open(self) -> bool:
@@ -83,7 +83,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell the sink that the answer broke off."""
-        self._forget(self)
+        self._on_closed(self)
         self._fail(BackendError(Code.stream_cut, str(exc or '')))
 
     def eof_received(self) -> bool:
@@ -112,7 +112,7 @@
             self._fail(BackendError(Code.backend_error, str(error)))
             self._transport.abort()
             return
-        self._settle()
+        self._release()
 
     def send(self, request: bytes, sink: AnswerSink) -> None:
         """Send a request whose answer goes to a sink."""
@@ -138,7 +138,7 @@
         """Note an answer that no request waits for."""
         self._headers = []
         if self._sink is None:
-            self._is_spoiled = True
+            self._has_unsolicited_answer = True
 
     def on_header(self, name: bytes, text: bytes) -> None:
         """Note one header."""
@@ -172,14 +172,14 @@
         if sink is not None:
             sink.receive_end()
 
-    def _settle(self) -> None:
+    def _release(self) -> None:
         """Give the connection back once an answer is whole."""
         if self._sink is not None:
             return
-        if self._is_spoiled or not self._is_reusable:
+        if self._has_unsolicited_answer or not self._is_reusable:
             self._transport.abort()
         elif self.is_open:
-            self._keep(self)
+            self._on_idle(self)
 
     def _fail(self, error: BackendError) -> None:
         sink, self._sink = self._sink, None
@@ -204,7 +204,7 @@
     """
 
     connect_s: float = CONNECT_TIMEOUT_S
-    idle_s: float = IDLE_KEPT_S
+    idle_s: float = IDLE_TIMEOUT_S
     max_idle: int = MAX_IDLE_PER_SERVER
 
 
@@ -234,7 +234,7 @@
             partial(
                 BackendConnection,
                 partial(self._keep, address),
-                partial(self._note_closed, address),
+                partial(self._remove_closed, address),
             ),
             host,
             int(port),
@@ -251,7 +251,7 @@
             ) from error
         return connection
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.cancel()
@@ -277,7 +277,9 @@
         connection.idle_until_s = self._loop.time() + idle_s
         kept.append(connection)
 
-    def _note_closed(self, address: str, connection: BackendConnection) -> None:
+    def _remove_closed(
+        self, address: str, connection: BackendConnection
+    ) -> None:
         kept = self._idle.get(address, [])
         if connection in kept:
             kept.remove(connection)
--- a/src/siskinpass/connection/backend_requests.py
+++ b/src/siskinpass/connection/backend_requests.py
@@ -28,15 +28,15 @@
     call: Call,
     request_id: str,
     host: str,
-    terms: EngineOptions,
+    options: EngineOptions,
 ) -> bytes:
     """Return a call to a model engine, always streamed."""
     fields = {
         **call.fields,
         'stream': True,
         'request_id': request_id,
-        'priority': terms.priority,
-        'resume_from': terms.resume_from,
+        'priority': options.priority,
+        'resume_from': options.resume_from,
     }
     fields.setdefault('max_tokens', call.promise.max_tokens)
     return _post(call.path, host, orjson.dumps(fields), request_id)
@@ -60,7 +60,7 @@
         if event and not event.endswith(b'[DONE]')
     ]
     last = documents[-1]
-    texts = [_event_text(document, chat=chat) for document in documents]
+    texts = [_delta_text(document, chat=chat) for document in documents]
     choice = {
         'index': 0,
         'finish_reason': last['choices'][0].get('finish_reason'),
@@ -84,7 +84,7 @@
     })
 
 
-def _event_text(document: dict, *, chat: bool) -> str:
+def _delta_text(document: dict, *, chat: bool) -> str:
     choice = document['choices'][0]
     if chat:
         return choice['delta'].get('content') or ''
--- a/src/siskinpass/connection/caller.py
+++ b/src/siskinpass/connection/caller.py
@@ -17,9 +17,9 @@
 HEAD_TIMEOUT_S = 5.0
 BODY_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 60.0
-BODY_BYTES_MOST = 4_194_304
-PIPELINED_BYTES_MOST = 65_536
-WRITE_BYTES_HIGH = 262_144
+MAX_BODY_BYTES = 4_194_304
+MAX_PIPELINED_BYTES = 65_536
+WRITE_HIGH_WATER_BYTES = 262_144
 LAST_CHUNK = b'0\r\n\r\n'
 
 Parse = Callable[[bytes, str, Callable[[ParseResult], None]], None]
@@ -52,13 +52,13 @@
         self._loop = loop
         self._parse = parse
         self._serve = serve
-        self._arrived = bytearray()
-        self._busy = False
-        self._wanted = 0
+        self._buffer = bytearray()
+        self._is_busy = False
+        self._body_length = 0
         self._body: asyncio.Future[bytes] | None = None
         self._timer = Timer(loop, self._expire)
-        self._reading = True
-        self._ended = False
+        self._is_reading = True
+        self._eof_seen = False
         self.on_lost: Callable[[], None] | None = None
         self.on_writable: WritableCallback | None = None
 
@@ -70,7 +70,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start to wait for a head."""
         self._transport = transport
-        transport.set_write_buffer_limits(high=WRITE_BYTES_HIGH)
+        transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         tune_socket(transport)
         self._timer.start(IDLE_TIMEOUT_S)
 
@@ -84,25 +84,25 @@
 
     def eof_received(self) -> bool:
         """Answer a request cut short; a whole one is still answered."""
-        self._ended = True
+        self._eof_seen = True
         if self._body is not None and not self._body.done():
             self._body.set_exception(RequestError(Code.body_cut_short))
             return True
-        if self._arrived and not self._busy:
+        if self._buffer and not self._is_busy:
             self.write(error_answer(Code.body_cut_short))
-        return self._busy
+        return self._is_busy
 
     def data_received(self, piece: bytes) -> None:
         """Take in bytes and look for a whole head or body."""
-        if not self._arrived and not self._busy:
+        if not self._buffer and not self._is_busy:
             self._timer.start(HEAD_TIMEOUT_S)
-        self._arrived += piece
+        self._buffer += piece
         if self._body is not None:
-            self._look_for_body()
-        elif not self._busy:
-            self._look_for_head()
-        elif len(self._arrived) > PIPELINED_BYTES_MOST:
-            self._reading = False
+            self._check_for_body()
+        elif not self._is_busy:
+            self._check_for_head()
+        elif len(self._buffer) > MAX_PIPELINED_BYTES:
+            self._is_reading = False
             self._transport.pause_reading()
 
     def pause_writing(self) -> None:
@@ -122,12 +122,12 @@
         cut short or too slow.
         """
         self._body = self._loop.create_future()
-        self._wanted = length
-        if length > BODY_BYTES_MOST:
+        self._body_length = length
+        if length > MAX_BODY_BYTES:
             self._body.set_exception(RequestError(Code.body_too_large))
         else:
             self._timer.start(BODY_TIMEOUT_S)
-            self._look_for_body()
+            self._check_for_body()
         return self._body
 
     def write(self, wire: bytes) -> None:
@@ -146,13 +146,13 @@
         if not keep_alive:
             self._transport.close()
             return
-        self._busy = False
+        self._is_busy = False
         self._timer.start(IDLE_TIMEOUT_S)
-        if not self._reading:
-            self._reading = True
+        if not self._is_reading:
+            self._is_reading = True
             self._transport.resume_reading()
-        if self._arrived:
-            self._look_for_head()
+        if self._buffer:
+            self._check_for_head()
 
     def close(self) -> None:
         """Close once all that was written is sent."""
@@ -168,34 +168,34 @@
         self.on_writable = None
         self._transport.close()
 
-    def _look_for_head(self) -> None:
-        end = self._arrived.find(HEAD_END)
+    def _check_for_head(self) -> None:
+        end = self._buffer.find(HEAD_END)
         if end >= 0:
             self._start(end + len(HEAD_END))
-        elif len(self._arrived) > MAX_HEADER_BYTES:
+        elif len(self._buffer) > MAX_HEADER_BYTES:
             self._refuse(Code.header_too_large)
 
     def _start(self, head_length: int) -> None:
-        self._busy = True
+        self._is_busy = True
         self._timer.clear()
-        self._ask_parser(self._take_arrived(head_length))
+        self._submit_to_parser(self._consume(head_length))
 
-    def _take_arrived(self, length: int) -> bytes:
-        taken = bytes(self._arrived[:length])
-        self._arrived = self._arrived[length:]
+    def _consume(self, length: int) -> bytes:
+        taken = bytes(self._buffer[:length])
+        self._buffer = self._buffer[length:]
         return taken
 
-    def _ask_parser(self, arrived: bytes) -> None:
+    def _submit_to_parser(self, received: bytes) -> None:
         remote = self._transport.get_extra_info('peername')
         # The answer comes from a request thread.
         reply = partial(
             self._loop.call_soon_threadsafe,
-            self._take_parsed,
-            arrived,
+            self._handle_parsed,
+            received,
         )
-        self._parse(arrived, remote[0] if remote else '', reply)
+        self._parse(received, remote[0] if remote else '', reply)
 
-    def _take_parsed(self, head: bytes, parsed: ParseResult) -> None:
+    def _handle_parsed(self, head: bytes, parsed: ParseResult) -> None:
         if not self.is_open:
             return
         if isinstance(parsed, RequestHead):
@@ -203,12 +203,12 @@
         elif isinstance(parsed, BodyNeeded):
             body = self.read_body(parsed.length)
             body.add_done_callback(
-                lambda done: self._take_page_body(head, done),
+                lambda done: self._handle_page_body(head, done),
             )
         else:
             self._answer_page(parsed)
 
-    def _take_page_body(
+    def _handle_page_body(
         self,
         head: bytes,
         done: asyncio.Future[bytes],
@@ -216,7 +216,7 @@
         self._body = None
         error = done.exception()
         if error is None:
-            self._ask_parser(head + done.result())
+            self._submit_to_parser(head + done.result())
         elif isinstance(error, RequestError):
             self._refuse(error.code)
 
@@ -224,15 +224,15 @@
         self.write(page.wire)
         self.finish(keep_alive=page.keep_alive)
 
-    def _look_for_body(self) -> None:
+    def _check_for_body(self) -> None:
         if self._body.done():
             return
-        if len(self._arrived) < self._wanted:
-            if self._ended:
+        if len(self._buffer) < self._body_length:
+            if self._eof_seen:
                 self._body.set_exception(RequestError(Code.body_cut_short))
             return
         self._timer.clear()
-        self._body.set_result(self._take_arrived(self._wanted))
+        self._body.set_result(self._consume(self._body_length))
 
     def _refuse(self, code: Code) -> None:
         self.write(error_answer(code))
@@ -241,7 +241,7 @@
     def _expire(self) -> None:
         if self._body is not None and not self._body.done():
             self._body.set_exception(RequestError(Code.slow_sender))
-        elif self._arrived and not self._busy:
+        elif self._buffer and not self._is_busy:
             self._refuse(Code.slow_sender)
-        elif not self._busy:
+        elif not self._is_busy:
             self._transport.close()
--- a/src/siskinpass/connection/http_caller.py
+++ b/src/siskinpass/connection/http_caller.py
@@ -14,8 +14,8 @@
 from siskinpass.request.inbound import Header, WireRequest
 from siskinpass.version.routes import CallerLimits
 
-PIPELINED_MOST = 16  # requests that wait behind the one in progress
-WRITE_BYTES_HIGH = 262_144
+MAX_PIPELINED = 16  # requests that wait behind the one in progress
+WRITE_HIGH_WATER_BYTES = 262_144
 WRITE_TIMEOUT_S = 30.0  # as long as the longest route keeps a caller waiting
 LAST_CHUNK = b'0\r\n\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
@@ -35,23 +35,23 @@
 class RequestCollector:
     """Collect the requests that httptools parses."""
 
-    def __init__(self, ask_continue: Callable[[], None]) -> None:
+    def __init__(self, send_continue: Callable[[], None]) -> None:
         """Start without a request.
 
         :param ask_continue: lets a caller send the body that it holds back.
         """
-        self._ask_continue = ask_continue
+        self._send_continue = send_continue
         self._parser = httptools.HttpRequestParser(self)
         self._headers: list[Header] = []
         self._target = bytearray()
-        self.whole: deque[WireRequest] = deque()
+        self.complete: deque[WireRequest] = deque()
         self.body = bytearray()
         self.in_head = False
-        self.received = 0
+        self.received_bytes = 0
 
     def feed(self, piece: bytes) -> Code | None:
         """Take in bytes and return what is wrong with them, if anything."""
-        self.received += len(piece)
+        self.received_bytes += len(piece)
         try:
             self._parser.feed_data(piece)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -80,7 +80,7 @@
             name.lower() == b'expect' and text.lower() == b'100-continue'
             for name, text in self._headers
         ):
-            self._ask_continue()
+            self._send_continue()
 
     def on_body(self, piece: bytes) -> None:
         """Collect the body."""
@@ -88,8 +88,8 @@
 
     def on_message_complete(self) -> None:
         """Keep a whole request until those before it are answered."""
-        self.received = 0
-        self.whole.append(
+        self.received_bytes = 0
+        self.complete.append(
             WireRequest(
                 self._parser.get_method(),
                 bytes(self._target),
@@ -117,11 +117,11 @@
         loop = asyncio.get_running_loop()
         self._limits = limits
         self._serve = serve
-        self._collector = RequestCollector(self._ask_continue)
+        self._collector = RequestCollector(self._send_continue)
         self._timer = Timer(loop, self._expire)
         self._fault: Code | None = None
         self._method = b''
-        self._keeps = True
+        self._keep_alive = True
         self.is_busy = False
         self.is_leaving = False
         self.arrived_s = 0.0
@@ -136,12 +136,12 @@
     @property
     def is_idle(self) -> bool:
         """Return whether no part of a request has arrived."""
-        return not (self.is_busy or self._collector.received)
+        return not (self.is_busy or self._collector.received_bytes)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start to wait for a head."""
         self._transport = transport
-        transport.set_write_buffer_limits(high=WRITE_BYTES_HIGH)
+        transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         tune_socket(transport)
         self._timer.start(self._limits().idle_timeout_s)
 
@@ -157,11 +157,11 @@
 
     def data_received(self, piece: bytes) -> None:
         """Take in bytes."""
-        if not self.is_busy and not self._collector.received:
+        if not self.is_busy and not self._collector.received_bytes:
             self._timer.start(self._limits().head_timeout_s)
         self._fault = self._collector.feed(piece) or self._fault
         self._check_bounds()
-        if len(self._collector.whole) > PIPELINED_MOST:
+        if len(self._collector.complete) > MAX_PIPELINED:
             self._transport.pause_reading()
         if not self.is_busy:
             self._start_next()
@@ -185,21 +185,21 @@
         body: bytes = b'',
     ) -> None:
         """Send a whole answer."""
-        keeps = self._keeps_open()
-        sent = (*headers, (b'Content-Length', b'%d' % len(body)))
-        if not keeps:
-            sent = (*sent, CLOSE_HEADER)
-        shown = b'' if self._method == b'HEAD' else body
-        self._transport.write(encode_head(status, sent) + shown)
-        self._finish(keeps=keeps)
+        keep_alive = self._should_keep_alive()
+        sent_headers = (*headers, (b'Content-Length', b'%d' % len(body)))
+        if not keep_alive:
+            sent_headers = (*sent_headers, CLOSE_HEADER)
+        sent_body = b'' if self._method == b'HEAD' else body
+        self._transport.write(encode_head(status, sent_headers) + sent_body)
+        self._finish(keep_alive=keep_alive)
 
     def start_stream(self, status: int, headers: tuple[Header, ...]) -> None:
         """Send the head of an answer whose pieces follow."""
-        sent = (*headers, (b'Transfer-Encoding', b'chunked'))
-        if not self._keeps_open():
-            sent = (*sent, CLOSE_HEADER)
-            self._keeps = False
-        self._transport.write(encode_head(status, sent))
+        sent_headers = (*headers, (b'Transfer-Encoding', b'chunked'))
+        if not self._should_keep_alive():
+            sent_headers = (*sent_headers, CLOSE_HEADER)
+            self._keep_alive = False
+        self._transport.write(encode_head(status, sent_headers))
 
     def write_piece(self, piece: bytes) -> None:
         """Send a piece of a stream."""
@@ -208,11 +208,11 @@
     def end_stream(self) -> None:
         """End a stream as complete."""
         self._transport.write(LAST_CHUNK)
-        self._finish(keeps=self._keeps_open())
+        self._finish(keep_alive=self._should_keep_alive())
 
     def truncate_stream(self) -> None:
         """Close without the end mark, so that a cut is seen as cut."""
-        self._finish(keeps=False)
+        self._finish(keep_alive=False)
 
     def leave(self) -> None:
         """Close now if idle, else after the answer that is under way."""
@@ -230,17 +230,17 @@
             self._fault = Code.body_too_large
         elif (
             self._collector.in_head
-            and self._collector.received > limits.head_bytes
+            and self._collector.received_bytes > limits.head_bytes
         ):
             self._fault = Code.header_too_large
 
     def _start_next(self) -> None:
-        if self._collector.whole:
+        if self._collector.complete:
             self._timer.clear()
             self.is_busy = True
-            request = self._collector.whole.popleft()
+            request = self._collector.complete.popleft()
             self._method = request.method
-            self._keeps = request.keeps_open
+            self._keep_alive = request.keeps_open
             self.arrived_s = asyncio.get_running_loop().time()
             self._serve(self, request)
         elif self._fault is not None:
@@ -248,26 +248,26 @@
 
     def _refuse(self, code: Code) -> None:
         self.is_busy = True
-        self._keeps = False
+        self._keep_alive = False
         meaning = MEANINGS[code]
         self.answer(meaning.status, (), meaning.text.encode())
 
-    def _ask_continue(self) -> None:
+    def _send_continue(self) -> None:
         if not self.is_busy:
             self._transport.write(CONTINUE)
 
-    def _keeps_open(self) -> bool:
-        return self._keeps and not self.is_leaving
+    def _should_keep_alive(self) -> bool:
+        return self._keep_alive and not self.is_leaving
 
-    def _finish(self, *, keeps: bool) -> None:
+    def _finish(self, *, keep_alive: bool) -> None:
         self.on_lost = None
         self.on_writable = None
         self.is_busy = False
-        if not keeps or not self.is_open:
+        if not keep_alive or not self.is_open:
             self._transport.close()
             return
         self._timer.start(self._limits().idle_timeout_s)
-        if self._collector.whole or self._fault is not None:
+        if self._collector.complete or self._fault is not None:
             self._transport.resume_reading()
             asyncio.get_running_loop().call_soon(self._start_waiting)
 
@@ -278,7 +278,7 @@
     def _expire(self) -> None:
         if self.is_busy:
             self._transport.abort()
-        elif self._collector.received:
+        elif self._collector.received_bytes:
             self._refuse(Code.slow_sender)
         else:
             self._transport.close()
--- a/src/siskinpass/connection/parsing.py
+++ b/src/siskinpass/connection/parsing.py
@@ -21,8 +21,8 @@
 Reply = Callable[[ParseResult], None]
 
 MAX_HEADER_BYTES = 16_384
-LATIN = 'latin-1'
-LENGTH = b'Content-Length'
+HEADER_ENCODING = 'latin-1'
+CONTENT_LENGTH = b'Content-Length'
 SINGLE_HEADERS = (
     b'authorization',
     b'content-length',
@@ -49,13 +49,13 @@
         self,
         application: Callable,
         threads: int,
-        relayed: tuple[str, ...] = (),
+        relay_prefixes: tuple[str, ...] = (),
     ) -> None:
         """Prepare the threads; ``start_threads`` starts them."""
         super().__init__(('127.0.0.1', 0), application, threads)
         self.max_request_header_size = MAX_HEADER_BYTES
         self.gateway = _choose_gateway
-        self.relayed = relayed
+        self.relay_prefixes = relay_prefixes
         self.version = 'siskinpass'
 
     @property
@@ -73,19 +73,19 @@
         self.ready = False
         self.requests.stop(self.shutdown_timeout)
 
-    def parse(self, arrived: bytes, remote: str, reply: Reply) -> None:
+    def parse(self, received: bytes, remote: str, reply: Reply) -> None:
         """Queue one request.
 
         :param arrived: the head, and the body as far as it is there.
         :param reply: called from a request thread with what came of it.
         """
-        self.requests.put(_ArrivedRequest(self, arrived, remote, reply))
+        self.requests.put(_QueuedRequest(self, received, remote, reply))
 
     def error_log(self, *args: object, **kwargs: object) -> None:
         """Keep quiet: what goes wrong is answered and counted."""
 
 
-class _ArrivedRequest:
+class _QueuedRequest:
     """Stand in a thread's queue for one request."""
 
     ssl_env: dict[str, str] = {}
@@ -96,21 +96,21 @@
     def __init__(
         self,
         server: ParsingServer,
-        arrived: bytes,
+        received: bytes,
         remote: str,
         reply: Reply,
     ) -> None:
         self.server = server
-        self.arrived = arrived
+        self.received = received
         self.remote_addr = remote
-        self.rfile = _Reader(arrived)
+        self.rfile = _Reader(received)
         self.wfile = _Writer()
         self.outcome: ParseResult | None = None
         self._reply = reply
 
     def communicate(self) -> bool:
         """Parse the request and send one message about it."""
-        request = _NumberedRequest(self.server, self)
+        request = _CodedErrorRequest(self.server, self)
         try:
             self._respond(request)
         except Exception as error:
@@ -126,18 +126,18 @@
     def close(self) -> None:
         """Do nothing: the socket is owned elsewhere."""
 
-    def _respond(self, request: '_NumberedRequest') -> None:
+    def _respond(self, request: '_CodedErrorRequest') -> None:
         request.parse_request()
         if not request.ready:
             return
-        fault = _find_fault(request, self.arrived)
+        fault = _find_head_error(request, self.received)
         if fault:
             request.simple_response('400', fault)
             request.close_connection = True
         else:
             request.respond()
 
-    def _page(self, request: '_NumberedRequest') -> PageAnswer:
+    def _page(self, request: '_CodedErrorRequest') -> PageAnswer:
         return PageAnswer(
             self.wfile.getvalue(),
             request.length,
@@ -161,13 +161,13 @@
     bytes_written = 0
 
 
-class _NumberedRequest(HTTPRequest):
+class _CodedErrorRequest(HTTPRequest):
     """Answer what is malformed with a numbered error."""
 
     @property
     def length(self) -> int:
         """Return the announced length of the body in bytes."""
-        text = self.inheaders.get(LENGTH, b'0')
+        text = self.inheaders.get(CONTENT_LENGTH, b'0')
         return int(text) if text.isdigit() else 0
 
     def simple_response(self, status: str | int, msg: str | Code = '') -> None:
@@ -197,10 +197,12 @@
         request = self.req
         request.ready = False
         request.conn.outcome = RequestHead(
-            request.method.decode(LATIN),
-            request.path.decode(LATIN),
+            request.method.decode(HEADER_ENCODING),
+            request.path.decode(HEADER_ENCODING),
             {
-                name.decode(LATIN).lower(): text.decode(LATIN)
+                name.decode(HEADER_ENCODING).lower(): text.decode(
+                    HEADER_ENCODING
+                )
                 for name, text in request.inheaders.items()
             },
             request.length,
@@ -217,23 +219,25 @@
         self.req.conn.outcome = BodyNeeded(self.req.length)
 
 
-def _choose_gateway(request: _NumberedRequest) -> Gateway:
-    path = request.path.decode(LATIN)
-    if path.startswith(request.server.relayed):
+def _choose_gateway(request: _CodedErrorRequest) -> Gateway:
+    path = request.path.decode(HEADER_ENCODING)
+    if path.startswith(request.server.relay_prefixes):
         return _RelayGateway(request)
-    arrived = len(request.conn.arrived) - request.conn.rfile.tell()
-    if request.length > arrived:
+    received = len(request.conn.received) - request.conn.rfile.tell()
+    if request.length > received:
         return _BodyGateway(request)
     return WsgiGateway(request)
 
 
-def _find_fault(request: _NumberedRequest, arrived: bytes) -> Code | None:
-    head = arrived[: arrived.find(b'\r\n\r\n')].lower()
+def _find_head_error(
+    request: _CodedErrorRequest, received: bytes
+) -> Code | None:
+    head = received[: received.find(b'\r\n\r\n')].lower()
     for name in SINGLE_HEADERS:
         if head.count(b'\r\n' + name + b':') > 1:
             return Code.duplicate_header
     if request.chunked_read:
         return Code.length_required
-    if not request.inheaders.get(LENGTH, b'0').isdigit():
+    if not request.inheaders.get(CONTENT_LENGTH, b'0').isdigit():
         return Code.malformed_head
     return None
--- a/src/siskinpass/connection/sockets.py
+++ b/src/siskinpass/connection/sockets.py
@@ -21,12 +21,12 @@
     user_timeout_ms: int = 20_000
 
 
-DEFAULT_TIMES = SocketTimeouts()
+DEFAULT_TIMEOUTS = SocketTimeouts()
 
 
 def tune_socket(
     transport: asyncio.BaseTransport,
-    times: SocketTimeouts = DEFAULT_TIMES,
+    timeouts: SocketTimeouts = DEFAULT_TIMEOUTS,
 ) -> None:
     """Let the kernel notice a peer that went silent for good."""
     sock = transport.get_extra_info('socket')
@@ -34,8 +34,8 @@
         return
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, times.idle_s)
-    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, times.interval_s)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, times.probes)
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, times.user_timeout_ms)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, timeouts.idle_s)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, timeouts.interval_s)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, timeouts.probes)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, timeouts.user_timeout_ms)
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
--- a/src/siskinpass/platform/check.py
+++ b/src/siskinpass/platform/check.py
@@ -16,7 +16,7 @@
 from siskinpass.platform.settings_file import decode_settings
 
 Decode = Callable[[Mapping[str, Any]], object]
-ROWS: tuple[tuple[str, Decode], ...] = (
+SECTION_DECODERS: tuple[tuple[str, Decode], ...] = (
     ('routes', decode_route),
     ('services', decode_service),
     ('tenants', decode_workspace),
@@ -59,7 +59,7 @@
 
 def _config_faults(document: dict[str, Any]) -> Iterator[Fault]:
     found = False
-    for name, decode in ROWS:
+    for name, decode in SECTION_DECODERS:
         for fault in _row_faults(name, document.get(name, []), decode):
             found = True
             yield fault
--- a/src/siskinpass/platform/config.py
+++ b/src/siskinpass/platform/config.py
@@ -26,7 +26,7 @@
 
 CONFIG_KIND = 'config'
 CONFIG_NAME = 'main'
-REPEATS = MappingProxyType({
+REPEAT_BY_ROUTE_TYPE = MappingProxyType({
     'safe': Repeat.idempotent,
     'unsafe': Repeat.once,
     'stream': Repeat.stream,
@@ -61,7 +61,7 @@
 
     :raises FormatError: where a field is missing or wrong.
     """
-    repeat = REPEATS.get(read_field(row, 'route-type', str))
+    repeat = REPEAT_BY_ROUTE_TYPE.get(read_field(row, 'route-type', str))
     if repeat is None:
         raise FormatError(Code.document_wrong, f'route-type: {row}')
     return Route(
--- a/src/siskinpass/platform/headers.py
+++ b/src/siskinpass/platform/headers.py
@@ -21,7 +21,7 @@
 STATUS_MISDIRECTED = 421
 
 # Headers that concern one connection only.
-HOP_HEADERS = frozenset((
+HOP_BY_HOP_HEADERS = frozenset((
     b'connection',
     b'keep-alive',
     b'proxy-connection',
@@ -56,16 +56,18 @@
 
     A header that cannot be read counts as missing.
     """
-    found = {name.lower(): text for name, text in request.headers}
-    dropped = HOP_HEADERS | SYSTEM_HEADERS | _named_by_connection(found)
+    by_name = {name.lower(): text for name, text in request.headers}
+    dropped = (
+        HOP_BY_HOP_HEADERS | SYSTEM_HEADERS | _listed_in_connection(by_name)
+    )
     return Call(
         request=request,
-        host=_text(found, b'host'),
-        call_id=_text(found, CALL_ID),
-        patience_s=_number(_text(found, DEADLINE)) / MS_PER_S,
-        key=_bearer(_text(found, AUTHORIZATION)),
-        resume_after=_text(found, RESUME),
-        prompt=_prompt(found),
+        host=_header_text(by_name, b'host'),
+        call_id=_header_text(by_name, CALL_ID),
+        patience_s=_number(_header_text(by_name, DEADLINE)) / MS_PER_S,
+        key=_bearer(_header_text(by_name, AUTHORIZATION)),
+        resume_after=_header_text(by_name, RESUME),
+        prompt=_prompt(by_name),
         headers=_without(dropped, request.headers),
     )
 
@@ -75,7 +77,7 @@
     request = call.request
     lines = [b'%b %b HTTP/1.1' % (request.method, request.target)]
     lines.extend(b'%b: %b' % header for header in call.headers)
-    lines.extend(_order_lines(order))
+    lines.extend(_system_header_lines(order))
     if request.body or request.method not in {b'GET', b'HEAD', b'DELETE'}:
         lines.append(b'Content-Length: %d' % len(request.body))
     return b'\r\n'.join((*lines, b'', request.body))
@@ -83,21 +85,21 @@
 
 def decode_answer(status: int, headers: tuple[Header, ...]) -> AnswerHead:
     """Return the head of an answer with its headers decoded."""
-    found = {name.lower(): text for name, text in headers}
-    dropped = HOP_HEADERS | _named_by_connection(found)
+    by_name = {name.lower(): text for name, text in headers}
+    dropped = HOP_BY_HOP_HEADERS | _listed_in_connection(by_name)
     return AnswerHead(
         status=status,
-        call_id=_text(found, CALL_ID),
-        receipt=_text(found, RECEIPT),
+        call_id=_header_text(by_name, CALL_ID),
+        receipt=_header_text(by_name, RECEIPT),
         # 421 says the same without the header.
-        not_run=NOT_RUN in found or status == STATUS_MISDIRECTED,
-        is_encoded=b'content-encoding' in found,
-        idle_s=_keep_alive_s(_text(found, b'keep-alive')),
+        not_run=NOT_RUN in by_name or status == STATUS_MISDIRECTED,
+        is_encoded=b'content-encoding' in by_name,
+        idle_s=_keep_alive_s(_header_text(by_name, b'keep-alive')),
         headers=_without(dropped, headers),
     )
 
 
-def _order_lines(order: SendOrder) -> list[bytes]:
+def _system_header_lines(order: SendOrder) -> list[bytes]:
     left_ms = max(1, int(order.left_s * MS_PER_S))
     fields = (
         ('X-Deadline-Ms', str(left_ms)),
@@ -111,8 +113,8 @@
     ]
 
 
-def _named_by_connection(found: dict[bytes, bytes]) -> frozenset[bytes]:
-    named = found.get(b'connection', b'').lower().split(b',')
+def _listed_in_connection(by_name: dict[bytes, bytes]) -> frozenset[bytes]:
+    named = by_name.get(b'connection', b'').lower().split(b',')
     return frozenset(name.strip() for name in named)
 
 
@@ -125,15 +127,15 @@
     )
 
 
-def _prompt(found: dict[bytes, bytes]) -> Prompt:
+def _prompt(by_name: dict[bytes, bytes]) -> Prompt:
     # "prompt tokens, most output tokens"
-    counts = _text(found, b'x-token-count').split(',')
-    entries = _text(found, b'x-prompt-prefix').split(',')
+    counts = _header_text(by_name, b'x-token-count').split(',')
+    entries = _header_text(by_name, b'x-prompt-prefix').split(',')
     return Prompt(
         parts=tuple(_part(entry) for entry in entries if entry),
         tokens_in=int(_number(counts[0])),
         tokens_out_most=int(_number(counts[-1])) if len(counts) > 1 else 0,
-        tokens_out_hint=int(_number(_text(found, b'x-length-hint'))),
+        tokens_out_hint=int(_number(_header_text(by_name, b'x-length-hint'))),
     )
 
 
@@ -156,8 +158,8 @@
     return 0.0
 
 
-def _text(found: dict[bytes, bytes], name: bytes) -> str:
-    return found.get(name, b'').decode('latin-1').strip()
+def _header_text(by_name: dict[bytes, bytes], name: bytes) -> str:
+    return by_name.get(name, b'').decode('latin-1').strip()
 
 
 def _number(text: str) -> float:
