--- a/src/siskinpass/platform/__init__.py
+++ b/src/siskinpass/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Translate the platform's names, formats and calls.
+"""Adapter to the platform: decode and encode its names, formats and calls.
 
-Nothing outside this package knows them, and nothing in it decides.
+Only this package knows the platform's wire names. It contains no routing or
+scheduling decisions.
 """
--- a/src/siskinpass/platform/check.py
+++ b/src/siskinpass/platform/check.py
@@ -1,4 +1,4 @@
-"""Find every fault of a settings file or a configuration document."""
+"""Find all errors in a settings file or a configuration document."""
 
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
@@ -25,24 +25,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Tell what is wrong and where.
+    """One error in a document and where it is.
 
-    :param path: place in the document, empty for the whole of it.
+    :param path: section and index of the entry, such as ``routes/2``; empty
+        if the error concerns the whole document.
     """
 
     path: str
     reason: str
 
     def __str__(self) -> str:
-        """Return one line."""
+        """Return the error as one line of text."""
         return f'{self.path}: {self.reason}' if self.path else self.reason
 
 
 def find_faults(text: bytes) -> list[Fault]:
-    """Return the faults of a document, none where it is right.
+    """Return the errors in a document; an empty list if it is valid.
 
-    A document with routes is a configuration, any other a settings file. YAML
-    and JSON are read.
+    A document with a ``routes`` field is checked as a configuration, any
+    other as a settings file.
+
+    :param text: YAML or JSON.
     """
     try:
         document = yaml.safe_load(text)
@@ -77,12 +80,12 @@
     decode: Decode,
 ) -> Iterator[Fault]:
     if not isinstance(rows, list):
-        yield Fault(name, 'is not a list')
+        yield Fault(name, 'expected a list')
         return
     for number, row in enumerate(rows):
         path = f'{name}/{number}'
         if not isinstance(row, dict):
-            yield Fault(path, 'is not a table')
+            yield Fault(path, 'expected a mapping')
             continue
         try:
             decode(row)
--- a/src/siskinpass/platform/config.py
+++ b/src/siskinpass/platform/config.py
@@ -1,4 +1,4 @@
-"""Decode the operator's configuration into a routing table."""
+"""Decode the operator's routing configuration into a route table."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -32,16 +32,17 @@
     'stream': Repeat.stream,
 })
 DEFAULT_CONNECTIONS = 100
-# Used where a configuration states none.
+# Defaults for a configuration that does not set these limits.
 HEAD_TIMEOUT_MS = 5000
 IDLE_TIMEOUT_MS = 60_000
 
 
 def decode_config(spec: Any) -> RouteTable:
-    """Return the routing table that a configuration states.
+    """Return the route table that a configuration describes.
 
-    :raises FormatError: where a field is missing or wrong; a table is never
-        applied in part.
+    :param spec: decoded document.
+    :raises FormatError: if any field is missing or invalid, so that a
+        configuration is applied completely or not at all.
     """
     table = as_table(spec, 'configuration')
     services = [decode_service(row) for row in read_tables(table, 'services')]
@@ -57,13 +58,15 @@
 
 
 def decode_route(row: Mapping[str, Any]) -> Route:
-    """Return one route.
+    """Return the route that an entry of ``routes`` describes.
 
-    :raises FormatError: where a field is missing or wrong.
+    :raises FormatError: if a field is missing or invalid.
     """
     repeat = REPEAT_BY_ROUTE_TYPE.get(read_field(row, 'route-type', str))
     if repeat is None:
-        raise FormatError(Code.document_wrong, f'route-type: {row}')
+        raise FormatError(
+            Code.document_wrong, f'route-type: unknown value in {row}'
+        )
     return Route(
         name=read_field(row, 'name', str, ''),
         host=read_field(row, 'host', str),
@@ -76,7 +79,8 @@
         tier=read_field(row, 'priority', int, 0),
         attempts_most=read_field(row, 'max-attempts', int, 1),
         is_open=read_field(row, 'auth-exempt', bool, default=False),
-        # Set for requests with a prompt, whatever the name says.
+        # Despite its wire name, the field says that requests carry a prompt;
+        # it does not ask for sticky routing.
         has_prompt=read_field(row, 'sticky', bool, default=False),
         is_resumable=read_field(row, 'stream-resume', bool, default=False),
     )
@@ -95,14 +99,16 @@
     ]
     used = tuple(share for share in shares if share.weight > 0)
     if not used:
-        raise FormatError(Code.document_wrong, f'traffic-split: {parts}')
+        raise FormatError(
+            Code.document_wrong, f'traffic-split: no weight above 0 in {parts}'
+        )
     return used
 
 
 def decode_service(row: Mapping[str, Any]) -> Service:
-    """Return one service.
+    """Return the service that an entry of ``services`` describes.
 
-    :raises FormatError: where a field is missing or wrong.
+    :raises FormatError: if a field is missing or invalid.
     """
     engine = row.get('engine')
     return Service(
@@ -137,9 +143,9 @@
 
 
 def decode_workspace(row: Mapping[str, Any]) -> Workspace:
-    """Return one workspace.
+    """Return the workspace that an entry of ``tenants`` describes.
 
-    :raises FormatError: where a field is missing or wrong.
+    :raises FormatError: if a field is missing or invalid.
     """
     tier = row.get('priority')
     return Workspace(
--- a/src/siskinpass/platform/directory.py
+++ b/src/siskinpass/platform/directory.py
@@ -1,4 +1,8 @@
-"""Translate what callers and instances ask of the directory."""
+"""Translate directory look-ups of callers and membership records.
+
+Callers look up which instances to connect to; instances store their own
+membership record in the platform's object store.
+"""
 
 from collections.abc import Iterable
 from dataclasses import asdict, dataclass
@@ -14,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolutionQuery:
-    """Ask which instances a caller should use.
+    """A caller's look-up of the instances that it should connect to.
 
-    :param host: host that the caller wants to reach.
-    :param zone: availability zone of the caller, empty where unknown.
+    :param host: host name that the caller wants to reach.
+    :param zone: availability zone of the caller, empty if unknown.
     """
 
     host: str
@@ -25,7 +29,10 @@
 
 
 def decode_resolution_query(target: str) -> ResolutionQuery | None:
-    """Return a caller's question, or none where the path is another."""
+    """Return a caller's look-up, or ``None`` for any other path.
+
+    :param target: path and query of the request.
+    """
     parts = urlsplit(target)
     if parts.path != PATH:
         return None
@@ -37,17 +44,24 @@
 
 
 def encode_resolution(addresses: Iterable[str], keep_s: float) -> bytes:
-    """Return the answer to a question."""
+    """Return the response body of a look-up.
+
+    :param addresses: instances to use, as ``ip:port``.
+    :param keep_s: how long the caller may cache the answer, in seconds.
+    """
     return orjson.dumps({'addresses': list(addresses), 'ttl-s': keep_s})
 
 
 def encode_member(member: Member) -> dict[str, Any]:
-    """Return an instance as it stands in the store."""
+    """Return the membership record of an instance for the object store."""
     return asdict(member)
 
 
 def decode_member(body: Any) -> Member | None:
-    """Return an instance from the store, none where it cannot be read."""
+    """Return the instance that a stored membership record describes.
+
+    Returns ``None`` if the record has missing or unknown fields.
+    """
     try:
         return Member(**body)
     except TypeError:
--- a/src/siskinpass/platform/engines.py
+++ b/src/siskinpass/platform/engines.py
@@ -1,4 +1,4 @@
-"""Ask a model engine which prompt parts it keeps."""
+"""Ask a model engine which prompt parts are in its KV cache."""
 
 from siskinpass.codes import Code
 from siskinpass.exceptions import FormatError
@@ -6,15 +6,17 @@
 from siskinpass.request.inbound import PromptPart
 
 KEPT_PARTS_REQUEST = b'GET /-/kv-list HTTP/1.1\r\nHost: engine\r\n\r\n'
-# Each row: an empty text, the part's id, the tokens kept of it, the model.
+# Columns of a row: an empty string, the id of the part, the number of its
+# tokens that are cached, the model.
 PART_ID = 1
 PART_TOKENS = 2
 
 
 def decode_kept_parts(body: bytes) -> tuple[PromptPart, ...]:
-    """Return the prompt parts that an engine keeps.
+    """Return the prompt parts that an engine has in its KV cache.
 
-    :raises FormatError: where the answer cannot be read.
+    :param body: JSON body of the engine's answer.
+    :raises FormatError: if the body is not in the expected format.
     """
     try:
         rows = read_field(read_json_table(body, 'kept parts'), 'held', list)
--- a/src/siskinpass/platform/fields.py
+++ b/src/siskinpass/platform/fields.py
@@ -15,21 +15,21 @@
 
 
 def as_table(found: Any, name: str) -> dict[str, Any]:
-    """Return a decoded value that has to be a table.
+    """Return a decoded value if it is a mapping.
 
-    :param name: what it is, for the fault.
-    :raises FormatError: where it is something else.
+    :param name: what the value is, for the error message.
+    :raises FormatError: if the value is of any other type.
     """
     if not isinstance(found, dict):
-        raise FormatError(Code.document_wrong, f'{name}: not a table')
+        raise FormatError(Code.document_wrong, f'{name}: expected a mapping')
     return found
 
 
 def read_json_table(body: bytes, name: str) -> dict[str, Any]:
-    """Return the table that a JSON body holds.
+    """Return the object in a JSON body.
 
-    :param name: what it is, for the fault.
-    :raises FormatError: where it cannot be read or holds something else.
+    :param name: what the body is, for the error message.
+    :raises FormatError: if the body is not JSON or not an object.
     """
     try:
         return as_table(orjson.loads(body), name)
@@ -43,15 +43,24 @@
     kind: type[Kind] | tuple[type, ...],
     default: Any = None,
 ) -> Any:
-    """Return one field of a table.
+    """Return the value of a field.
 
-    :raises FormatError: where it is missing without a default, or of another
-        type.
+    A boolean is accepted only where ``kind`` is ``bool``, although ``bool``
+    is a subclass of ``int``.
+
+    :param kind: expected type or types.
+    :param default: value if the field is missing; ``None`` if the field is
+        required.
+    :raises FormatError: if the field is missing without a default, or has
+        another type.
     """
     found = table.get(name, default)
     is_flag = isinstance(found, bool) and kind is not bool
     if is_flag or not isinstance(found, kind):
-        raise FormatError(Code.document_wrong, f'{name}: {found!r:.60}')
+        raise FormatError(
+            Code.document_wrong,
+            f'{name}: missing or of the wrong type: {found!r:.60}',
+        )
     return found
 
 
@@ -60,7 +69,13 @@
     name: str,
     default_ms: float | None = None,
 ) -> float:
-    """Return a field of milliseconds in seconds."""
+    """Return a field given in milliseconds, converted to seconds.
+
+    :param default_ms: value in milliseconds if the field is missing; ``None``
+        if the field is required.
+    :raises FormatError: if the field is missing without a default, or is not
+        a number.
+    """
     return read_field(table, name, NUMBER, default_ms) / MS_PER_S
 
 
@@ -68,6 +83,10 @@
     table: Mapping[str, Any],
     name: str,
 ) -> list[Mapping[str, Any]]:
-    """Return a field that is a list of tables."""
+    """Return a field that is a list of mappings, empty if it is missing.
+
+    :raises FormatError: if the field is not a list, or an item of it is not a
+        mapping.
+    """
     rows = read_field(table, name, list, [])
     return [as_table(row, name) for row in rows]
--- a/src/siskinpass/platform/headers.py
+++ b/src/siskinpass/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translate the headers of requests and answers."""
+"""Translate the headers of requests and responses."""
 
 from siskinpass.platform.fields import MS_PER_S
 from siskinpass.request.inbound import (
@@ -20,7 +20,7 @@
 BEARER = 'bearer '
 STATUS_MISDIRECTED = 421
 
-# Headers that concern one connection only.
+# Headers that apply to a single connection and must not be forwarded.
 HOP_BY_HOP_HEADERS = frozenset((
     b'connection',
     b'keep-alive',
@@ -34,7 +34,8 @@
     b'content-length',
     b'expect',
 ))
-# Headers that only this system may set; a caller's own are dropped.
+# Headers that only this system may set. Those sent by a caller are dropped,
+# so that a caller cannot forge them.
 SYSTEM_HEADERS = frozenset((
     DEADLINE,
     RESUME,
@@ -54,7 +55,7 @@
 def decode_call(request: WireRequest) -> Call:
     """Return a request with its headers decoded.
 
-    A header that cannot be read counts as missing.
+    A header with an invalid value is treated as missing.
     """
     by_name = {name.lower(): text for name, text in request.headers}
     dropped = (
@@ -73,7 +74,7 @@
 
 
 def encode_send(call: Call, order: SendOrder) -> bytes:
-    """Return the request as a backend server gets it."""
+    """Return the bytes of the request to send to a backend server."""
     request = call.request
     lines = [b'%b %b HTTP/1.1' % (request.method, request.target)]
     lines.extend(b'%b: %b' % header for header in call.headers)
@@ -84,14 +85,15 @@
 
 
 def decode_answer(status: int, headers: tuple[Header, ...]) -> AnswerHead:
-    """Return the head of an answer with its headers decoded."""
+    """Return the head of a response with its headers decoded."""
     by_name = {name.lower(): text for name, text in headers}
     dropped = HOP_BY_HOP_HEADERS | _listed_in_connection(by_name)
     return AnswerHead(
         status=status,
         call_id=_header_text(by_name, CALL_ID),
         receipt=_header_text(by_name, RECEIPT),
-        # 421 says the same without the header.
+        # Status 421 states that the request was not run, even without the
+        # header.
         not_run=NOT_RUN in by_name or status == STATUS_MISDIRECTED,
         is_encoded=b'content-encoding' in by_name,
         idle_s=_keep_alive_s(_header_text(by_name, b'keep-alive')),
@@ -128,7 +130,7 @@
 
 
 def _prompt(by_name: dict[bytes, bytes]) -> Prompt:
-    # "prompt tokens, most output tokens"
+    # Format: "<prompt tokens>,<maximum output tokens>".
     counts = _header_text(by_name, b'x-token-count').split(',')
     entries = _header_text(by_name, b'x-prompt-prefix').split(',')
     return Prompt(
--- a/src/siskinpass/platform/objects.py
+++ b/src/siskinpass/platform/objects.py
@@ -1,4 +1,4 @@
-"""Speak the dialect of the platform's object store."""
+"""Build paths and bodies of the platform's object store, decode its pages."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -22,11 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """Hold one object as the store told it.
+    """One object as the store returned it.
 
-    :param revision: store revision of its last change.
-    :param body: the value that its writer gave, any JSON type.
-    :param is_deleted: whether it is gone.
+    :param revision: store revision of the object's last change.
+    :param body: value that was written, of any JSON type.
+    :param is_deleted: whether the object was deleted; only a watch reports
+        deletions.
     """
 
     name: str
@@ -37,10 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Hold what one listing or watch returned.
+    """Result of one list or watch request.
 
-    :param revision: store revision to watch from.
-    :param next_name: name to go on from, empty at the end of a listing.
+    :param revision: store revision to start the next watch from.
+    :param next_name: name after which the next page starts, empty on the
+        last page.
     """
 
     stored: tuple[StoredObject, ...]
@@ -49,22 +51,29 @@
 
 
 def kind_path(kind: str) -> str:
-    """Return the path of a kind, at which its objects are created."""
+    """Return the path of a kind; objects of it are created there."""
     return f'/-/objects/{kind}'
 
 
 def list_path(kind: str, after: str = '') -> str:
-    """Return the path of a listing.
+    """Return the path of one page of a listing.
 
-    :param after: name of the last object of the page before.
+    :param after: name of the last object on the previous page, empty for the
+        first page.
     """
     path = kind_path(kind)
-    # Its name on the wire says revision; it takes the name of an object.
+    # Despite its wire name, this parameter takes the name of an object, not
+    # a revision.
     return f'{path}?after-rev={quote(after)}' if after else path
 
 
 def watch_path(kind: str, revision: int, wait_ms: int) -> str:
-    """Return the path of a watch."""
+    """Return the path of a watch.
+
+    :param revision: store revision after which changes are reported.
+    :param wait_ms: how long the store may wait for a change before it
+        answers, in milliseconds.
+    """
     return f'{kind_path(kind)}?watch={revision}&wait-ms={wait_ms}'
 
 
@@ -74,14 +83,14 @@
 
 
 def encode_object(name: str, body: Any) -> bytes:
-    """Return the body of a call that creates or replaces an object."""
+    """Return the body of a request that creates or replaces an object."""
     return orjson.dumps({'metadata': {'name': name}, 'spec': body})
 
 
 def decode_list(body: bytes) -> Page:
-    """Return a listing.
+    """Return one page of a listing.
 
-    :raises FormatError: where it cannot be read.
+    :raises FormatError: if the body is not in the expected format.
     """
     table = read_json_table(body, 'listing')
     stored = tuple(_object(row) for row in read_tables(table, 'items'))
@@ -94,9 +103,9 @@
 
 
 def decode_watch(body: bytes) -> Page:
-    """Return the changes that a watch told.
+    """Return the changes that a watch reported.
 
-    :raises FormatError: where they cannot be read.
+    :raises FormatError: if the body is not in the expected format.
     """
     table = read_json_table(body, 'watch')
     stored = tuple(
--- a/src/siskinpass/platform/servers.py
+++ b/src/siskinpass/platform/servers.py
@@ -1,4 +1,4 @@
-"""Decode the platform's entries of backend servers."""
+"""Decode the platform's registry entries of backend servers."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -13,15 +13,16 @@
 
 
 def decode_server(name: str, spec: Any) -> ServerView:
-    """Return the backend server that an entry describes.
+    """Return the backend server that a registry entry describes.
 
-    :param name: the entry's name, which is the server's id.
-    :raises FormatError: where the entry names no server to use.
+    :param name: name of the entry, which is also the id of the server.
+    :raises FormatError: if a field is missing or invalid, or the state is
+        neither ready nor draining.
     """
     entry = as_table(spec, name)
     state = read_field(entry, 'state', str)
     if state not in STATES:
-        raise FormatError(Code.document_wrong, f'{name}: state {state}')
+        raise FormatError(Code.document_wrong, f'{name}: unknown state {state}')
     return ServerView(
         name=name,
         address=_address(entry),
@@ -29,7 +30,7 @@
         zone=read_field(entry, 'zone', str, ''),
         leaving=state != 'ready',
         slots=read_field(entry, 'slots', int, 1),
-        # Unix milliseconds of the start of this incarnation.
+        # Start time of this incarnation in Unix milliseconds.
         incarnation=read_field(entry, 'born', int, 0),
     )
 
@@ -38,5 +39,8 @@
     address = read_field(spec, 'address', str)
     host, _, port = address.rpartition(':')
     if not host or not port.isdigit():
-        raise FormatError(Code.document_wrong, f'address: {address:.60}')
+        raise FormatError(
+            Code.document_wrong,
+            f'address: expected host:port, got {address:.60}',
+        )
     return address
--- a/src/siskinpass/platform/settings_file.py
+++ b/src/siskinpass/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform places on each machine."""
+"""Read the settings file that the platform installs on each machine."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -27,7 +27,8 @@
 def read_settings(path: Path) -> FleetSettings:
     """Return the settings of this process.
 
-    :raises SettingsError: where the file or a field cannot be read.
+    :raises SettingsError: if the file cannot be read, or a field is missing
+        or invalid.
     """
     try:
         return decode_settings(path.read_bytes())
@@ -36,7 +37,14 @@
 
 
 def decode_settings(text: bytes) -> FleetSettings:
-    """Return the settings that a file states; unknown fields are ignored."""
+    """Return the settings in the text of a settings file.
+
+    Unknown fields are ignored.
+
+    :param text: YAML.
+    :raises SettingsError: if the text is not YAML, or a field is missing or
+        invalid.
+    """
     try:
         return _settings(yaml.load(text, _loader()))
     except (yaml.YAMLError, FormatError, IndexError) as error:
