--- a/src/siskinpass/connection/__init__.py
+++ b/src/siskinpass/connection/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives for one connection."""
+"""Protocols and helpers of caller and backend server connections."""
--- a/src/siskinpass/connection/backend.py
+++ b/src/siskinpass/connection/backend.py
@@ -1,4 +1,4 @@
-"""Own one connection to a backend server."""
+"""Connections to backend servers and the pool that reuses them."""
 
 import asyncio
 import socket
@@ -20,44 +20,49 @@
 STATUS_OK = 200
 STATUSES_WITHOUT_BODY = frozenset((204, 304))
 UNACKED_TIMEOUT_MS = 3000
-# A backend server that acknowledges nothing for as long as callers wait for
-# the next event of a stream is as good as gone.
+# As long as callers wait for the next event of a stream: a backend server that
+# acknowledges no data for that long is treated as unreachable.
 BACKEND_SOCKET_TIMEOUTS = SocketTimeouts(
     idle_s=2, interval_s=1, probes=2, user_timeout_ms=UNACKED_TIMEOUT_MS
 )
 
 
 class AnswerSink(Protocol):
-    """Take in the answer of a backend server."""
+    """Receiver of one response of a backend server."""
 
     def receive_head(self, status: int, headers: tuple[Header, ...]) -> bool:
-        """Take in status and headers as they were spelled.
+        """Receive the status and the headers, with names as they were sent.
 
-        :returns: whether the answer is for this sink; another one is skipped.
+        :returns: whether the response belongs to this sink's request; if
+            not, the connection skips it.
         """
 
     def receive_body(self, piece: bytes) -> None:
-        """Take in a piece of the body."""
+        """Receive a piece of the body."""
 
     def receive_end(self) -> None:
-        """Take in that the answer is whole."""
+        """Receive the end of a complete response."""
 
     def receive_failure(self, error: BackendError) -> None:
-        """Take in that the answer broke off."""
+        """Receive the error that cut the response off."""
 
 
 class BackendConnection(asyncio.Protocol):
-    """Send one request at a time and pass its answer to a sink."""
+    """HTTP/1.1 client connection that runs one request at a time.
+
+    The response is passed to the sink given with the request.
+    """
 
     def __init__(
         self,
         on_idle: Callable[['BackendConnection'], None],
         on_closed: Callable[['BackendConnection'], None],
     ) -> None:
-        """Wait for the connection.
+        """Create an unconnected protocol.
 
-        :param keep: takes the connection back after a whole answer.
-        :param forget: told that the connection is closed.
+        :param on_idle: called when the connection can be reused after a
+            complete response.
+        :param on_closed: called when the connection is closed.
         """
         self._on_idle = on_idle
         self._on_closed = on_closed
@@ -73,24 +78,24 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether the connection can take a request."""
+        """Return whether the connection is neither closed nor closing."""
         return not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and set the socket options."""
         self._transport = transport
         tune_socket(transport, BACKEND_SOCKET_TIMEOUTS)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the sink that the answer broke off."""
+        """Report an incomplete response to the sink as cut off."""
         self._on_closed(self)
         self._fail(BackendError(Code.stream_cut, str(exc or '')))
 
     def eof_received(self) -> bool:
-        """End an answer that only the connection's end delimits.
+        """Complete a response whose body is delimited by the connection close.
 
-        libuv reports a reset that arrives together with data as an end; the
-        socket still holds the error.
+        libuv reports a reset that arrives together with data as a regular end
+        of file; the socket still holds the error, so it is checked here.
         """
         sock = self._transport.get_extra_info('socket')
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -99,7 +104,7 @@
         return False
 
     def data_received(self, piece: bytes) -> None:
-        """Parse what came; bytes beyond an answer belong to no request."""
+        """Parse received data; close the connection on unsolicited data."""
         if self._sink is None:
             self._transport.abort()
             return
@@ -115,18 +120,18 @@
         self._release()
 
     def send(self, request: bytes, sink: AnswerSink) -> None:
-        """Send a request whose answer goes to a sink."""
+        """Send a request and pass its response to the sink."""
         self._sink = sink
         self._is_reusable = False
         self._transport.write(request)
 
     def cancel(self) -> None:
-        """Break off; the backend server stops its work."""
+        """Close the connection at once, so that the backend server stops."""
         self._sink = None
         self._transport.abort()
 
     def set_reading(self, *, on: bool) -> None:
-        """Slow down or go on, by the pace of the caller."""
+        """Resume or pause reading, to match the speed of the caller."""
         if not self.is_open:
             return
         if on:
@@ -135,17 +140,17 @@
             self._transport.pause_reading()
 
     def on_message_begin(self) -> None:
-        """Note an answer that no request waits for."""
+        """Start a response; record one that no request is waiting for."""
         self._headers = []
         if self._sink is None:
             self._has_unsolicited_answer = True
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Note one header."""
+        """Store one header."""
         self._headers.append((name, text))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on."""
+        """Pass the head to the sink; informational (1xx) ones are ignored."""
         status = self._parser.get_status_code()
         if self._sink is None or status < STATUS_OK:
             return
@@ -154,12 +159,12 @@
         self._is_skipping = not self._sink.receive_head(status, headers)
 
     def on_body(self, piece: bytes) -> None:
-        """Pass a piece on."""
+        """Pass a piece of the body to the sink unless it is being skipped."""
         if self._sink is not None and not self._is_skipping:
             self._sink.receive_body(piece)
 
     def on_message_complete(self) -> None:
-        """Pass the end on."""
+        """Complete the response unless it is informational or skipped."""
         if self._parser.get_status_code() < STATUS_OK:
             return
         self._is_reusable = self._parser.should_keep_alive()
@@ -173,7 +178,7 @@
             sink.receive_end()
 
     def _release(self) -> None:
-        """Give the connection back once an answer is whole."""
+        """Release the connection for reuse, or close it, after a response."""
         if self._sink is not None:
             return
         if self._has_unsolicited_answer or not self._is_reusable:
@@ -196,11 +201,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolPolicy:
-    """Bound the connections of a pool.
+    """Limits of a connection pool.
 
-    :param connect_s: longest time to open one.
-    :param idle_s: time that an idle one is kept unless its server says less.
-    :param idle_most: idle ones kept for each server.
+    :param connect_s: connect timeout.
+    :param idle_s: how long an idle connection is kept, unless its server
+        announces a shorter time.
+    :param max_idle: number of idle connections kept for each server.
     """
 
     connect_s: float = CONNECT_TIMEOUT_S
@@ -209,22 +215,28 @@
 
 
 class BackendPool:
-    """Keep idle connections to backend servers."""
+    """Pool of idle connections to backend servers, by address."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         policy: PoolPolicy | None = None,
     ) -> None:
-        """Start without connections."""
+        """Create an empty pool.
+
+        :param policy: limits of the pool; ``None`` for the defaults.
+        """
         self._loop = loop
         self._policy = policy or PoolPolicy()
         self._idle: dict[str, list[BackendConnection]] = {}
 
     async def connect(self, address: str, *, fresh: bool) -> BackendConnection:
-        """Return a connection, an idle one unless a fresh one is asked for.
+        """Return an idle connection, or open one if there is none.
 
-        :raises ConnectError: where none can be opened; nothing was sent.
+        :param address: ``host:port`` of the backend server.
+        :param fresh: whether to open a new connection in any case.
+        :raises ConnectError: if no connection can be opened; nothing was
+            sent.
         """
         kept = None if fresh else self._pop_idle(address)
         if kept is not None:
--- a/src/siskinpass/connection/backend_requests.py
+++ b/src/siskinpass/connection/backend_requests.py
@@ -1,6 +1,7 @@
-"""Write requests in the dialects of the backend servers.
+"""Encode requests to model engines and plain services.
 
-The only module that knows how engines and plain services are spoken to.
+This is the only module that knows the HTTP interfaces of the two kinds of
+backend server.
 """
 
 from dataclasses import dataclass
@@ -14,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOptions:
-    """Hold what an engine is told beside the caller's own fields.
+    """Fields that the router adds to a request to an engine.
 
-    :param priority: order in the engine's queue, 0 goes first.
-    :param resume_from: tokens that the caller already has.
+    :param priority: priority in the engine's queue, 0 is served first.
+    :param resume_from: number of tokens that the caller has already received.
     """
 
     priority: int
@@ -30,7 +31,11 @@
     host: str,
     options: EngineOptions,
 ) -> bytes:
-    """Return a call to a model engine, always streamed."""
+    """Return a request to a model engine, which always streams its response.
+
+    The caller's own fields are kept; without a ``max_tokens`` field the limit
+    promised for the request is sent.
+    """
     fields = {
         **call.fields,
         'stream': True,
@@ -43,17 +48,22 @@
 
 
 def encode_service_request(call: Call, request_id: str, host: str) -> bytes:
-    """Return a call to a plain service."""
+    """Return a request to a plain service with the caller's body."""
     return _post(quote(call.service_path), host, call.body, request_id)
 
 
 def event_marker(request_id: str) -> bytes:
-    """Return what each event of an engine's answer must hold."""
+    """Return the bytes that every event for this request contains."""
     return b'"id":"%b"' % request_id.encode()
 
 
 def assemble_answer(events: bytes, *, chat: bool) -> bytes:
-    """Return the whole answer that the events of a stream amount to."""
+    """Return the non-streamed response body equal to a stream of events.
+
+    :param events: complete server-sent events; a closing ``[DONE]`` event is
+        ignored.
+    :param chat: whether the events are of the chat completions interface.
+    """
     documents = [
         orjson.loads(event.removeprefix(b'data: '))
         for event in events.split(b'\n\n')
--- a/src/siskinpass/connection/caller.py
+++ b/src/siskinpass/connection/caller.py
@@ -1,4 +1,4 @@
-"""Own one caller's connection."""
+"""Server connection of a caller whose request heads a thread pool parses."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,20 +26,23 @@
 
 
 class WritableCallback(Protocol):
-    """Take in that the caller reads again, or does not."""
+    """Callback for the flow control of a response."""
 
     def __call__(self, *, on: bool) -> None:
-        """Slow down, or go on."""
+        """Resume or pause writing.
+
+        :param on: whether the caller's connection accepts more data.
+        """
 
 
 Serve = Callable[['CallerConnection', RequestHead], None]
 
 
 class CallerConnection(asyncio.Protocol):
-    """Read requests and write answers, one after the other.
+    """Reads requests and writes responses, one at a time.
 
-    :param parse: parses one head on a request thread.
-    :param serve: starts the relay of a parsed request.
+    :param parse: queues one head to be parsed by a request thread.
+    :param serve: starts to relay a parsed request.
     """
 
     def __init__(
@@ -48,7 +51,6 @@
         parse: Parse,
         serve: Serve,
     ) -> None:
-        """Wait for the connection."""
         self._loop = loop
         self._parse = parse
         self._serve = serve
@@ -64,18 +66,18 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether the caller can still be answered."""
+        """Return whether a response can still be sent to the caller."""
         return not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to wait for a head."""
+        """Set the socket options and start the idle time-out."""
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         tune_socket(transport)
         self._timer.start(IDLE_TIMEOUT_S)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell whoever answers that the caller went away."""
+        """Fail a pending body read; notify the current handler."""
         self._timer.clear()
         if self._body is not None and not self._body.done():
             self._body.set_exception(RequestError(Code.body_cut_short))
@@ -83,7 +85,11 @@
             self.on_lost()
 
     def eof_received(self) -> bool:
-        """Answer a request cut short; a whole one is still answered."""
+        """Reject a request that is incomplete at the end of the input.
+
+        A complete request is still answered: the caller may have closed only
+        its sending side.
+        """
         self._eof_seen = True
         if self._body is not None and not self._body.done():
             self._body.set_exception(RequestError(Code.body_cut_short))
@@ -93,7 +99,7 @@
         return self._is_busy
 
     def data_received(self, piece: bytes) -> None:
-        """Take in bytes and look for a whole head or body."""
+        """Buffer received data and check for a complete head or body."""
         if not self._buffer and not self._is_busy:
             self._timer.start(HEAD_TIMEOUT_S)
         self._buffer += piece
@@ -106,20 +112,22 @@
             self._transport.pause_reading()
 
     def pause_writing(self) -> None:
-        """Slow down whoever answers."""
+        """Ask the current handler to pause; the write buffer is full."""
         if self.on_writable is not None:
             self.on_writable(on=False)
 
     def resume_writing(self) -> None:
-        """Let whoever answers go on."""
+        """Ask the current handler to resume writing."""
         if self.on_writable is not None:
             self.on_writable(on=True)
 
     def read_body(self, length: int) -> asyncio.Future[bytes]:
-        """Return a future of the body.
+        """Return a future of the request body.
 
-        It fails with a :exc:`RequestError` for a body that is too large,
-        cut short or too slow.
+        The future fails with :exc:`RequestError` if the body is too large,
+        is cut short or does not arrive in time.
+
+        :param length: length of the body in bytes.
         """
         self._body = self._loop.create_future()
         self._body_length = length
@@ -131,15 +139,15 @@
         return self._body
 
     def write(self, wire: bytes) -> None:
-        """Send bytes to the caller."""
+        """Send data as is."""
         self._transport.write(wire)
 
     def write_chunk(self, piece: bytes) -> None:
-        """Send one chunk of a streamed answer."""
+        """Send one chunk of a chunked response."""
         self._transport.write(b'%x\r\n%b\r\n' % (len(piece), piece))
 
     def finish(self, *, keep_alive: bool) -> None:
-        """End an answer; close, or go on to the next request."""
+        """Finish a response, then close or start the next request."""
         self.on_lost = None
         self.on_writable = None
         self._body = None
@@ -155,15 +163,19 @@
             self._check_for_head()
 
     def close(self) -> None:
-        """Close once all that was written is sent."""
+        """Close after all buffered data was sent."""
         self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once, discarding data that was not sent yet."""
         self._transport.abort()
 
     def abort_after_write(self) -> None:
-        """Close without the last chunk, so that a cut is seen as cut."""
+        """Close after buffered data was sent, without the last chunk.
+
+        Without the last chunk the caller cannot take the response for a
+        complete one.
+        """
         self.on_lost = None
         self.on_writable = None
         self._transport.close()
@@ -187,7 +199,7 @@
 
     def _submit_to_parser(self, received: bytes) -> None:
         remote = self._transport.get_extra_info('peername')
-        # The answer comes from a request thread.
+        # The result is delivered from a request thread.
         reply = partial(
             self._loop.call_soon_threadsafe,
             self._handle_parsed,
--- a/src/siskinpass/connection/fetch.py
+++ b/src/siskinpass/connection/fetch.py
@@ -1,4 +1,4 @@
-"""Fetch one whole answer over a pool of connections."""
+"""Fetch complete responses over a connection pool."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchedAnswer:
-    """Hold one answer."""
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 class _Collector(AnswerSink):
-    """Collect one answer."""
+    """Sink that collects one response and completes a future with it."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -28,22 +28,22 @@
         self.finished: asyncio.Future[FetchedAnswer] = loop.create_future()
 
     def receive_head(self, status: int, headers: tuple[Header, ...]) -> bool:
-        """Take in the status."""
+        """Store the status; accept every response."""
         self._status = status
         return True
 
     def receive_body(self, piece: bytes) -> None:
-        """Take in a piece of the body."""
+        """Append a piece of the body."""
         self._pieces += piece
 
     def receive_end(self) -> None:
-        """Hand the answer out."""
+        """Complete the future with the response."""
         if not self.finished.done():
             answer = FetchedAnswer(self._status, bytes(self._pieces))
             self.finished.set_result(answer)
 
     def receive_failure(self, error: BackendError) -> None:
-        """Hand the failure out."""
+        """Complete the future with the error."""
         if not self.finished.done():
             self.finished.set_exception(error)
 
@@ -54,14 +54,16 @@
     request: bytes,
     timeout_s: float,
 ) -> FetchedAnswer:
-    """Send a request and return its answer.
+    """Send a request and return its complete response.
 
-    A connection without a whole answer is closed, as nothing further is due
-    on it.
+    If no complete response arrives, the connection is closed instead of
+    reused, because nothing else is expected on it.
 
-    :param timeout_s: longest time from the sending to the end of the answer.
-    :raises ConnectError: where no connection can be opened; nothing was sent.
-    :raises BackendError: where the answer broke off or does not come in time.
+    :param timeout_s: longest time from sending the request to the end of the
+        response.
+    :raises ConnectError: if no connection can be opened; nothing was sent.
+    :raises BackendError: if the response was cut off or did not arrive in
+        time.
     """
     connection = await pool.connect(address, fresh=False)
     collector = _Collector()
@@ -69,7 +71,10 @@
     try:
         return await asyncio.wait_for(collector.finished, timeout_s)
     except TimeoutError as error:
-        raise BackendError(Code.stream_silent, 'silent') from error
+        raise BackendError(
+            Code.stream_silent,
+            f'no complete response within {timeout_s} s',
+        ) from error
     finally:
         if not _is_answered(collector):
             connection.cancel()
--- a/src/siskinpass/connection/http_caller.py
+++ b/src/siskinpass/connection/http_caller.py
@@ -1,4 +1,4 @@
-"""Own one HTTP connection of a caller."""
+"""HTTP/1.1 server connection of a caller."""
 
 import asyncio
 from collections import deque
@@ -16,29 +16,33 @@
 
 MAX_PIPELINED = 16  # requests that wait behind the one in progress
 WRITE_HIGH_WATER_BYTES = 262_144
-WRITE_TIMEOUT_S = 30.0  # as long as the longest route keeps a caller waiting
+WRITE_TIMEOUT_S = 30.0  # as long as the longest time-out of a route
 LAST_CHUNK = b'0\r\n\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 CLOSE_HEADER = (b'Connection', b'close')
 
 
 class WritableCallback(Protocol):
-    """Take in that the caller reads again, or does not."""
+    """Callback for the flow control of a response."""
 
     def __call__(self, *, on: bool) -> None:
-        """Slow down, or go on."""
+        """Resume or pause writing.
+
+        :param on: whether the caller's connection accepts more data.
+        """
 
 
 Serve = Callable[['HttpCaller', WireRequest], None]
 
 
 class RequestCollector:
-    """Collect the requests that httptools parses."""
+    """Builds complete requests from the callbacks of httptools."""
 
     def __init__(self, send_continue: Callable[[], None]) -> None:
-        """Start without a request.
+        """Create a collector without requests.
 
-        :param ask_continue: lets a caller send the body that it holds back.
+        :param send_continue: sends an interim 100 response to a caller that
+            waits for one before it sends the body.
         """
         self._send_continue = send_continue
         self._parser = httptools.HttpRequestParser(self)
@@ -50,7 +54,10 @@
         self.received_bytes = 0
 
     def feed(self, piece: bytes) -> Code | None:
-        """Take in bytes and return what is wrong with them, if anything."""
+        """Parse received bytes.
+
+        :returns: the code of a syntax error, ``None`` if there is none.
+        """
         self.received_bytes += len(piece)
         try:
             self._parser.feed_data(piece)
@@ -59,22 +66,22 @@
         return None
 
     def on_message_begin(self) -> None:
-        """Start to collect a request."""
+        """Start a new request."""
         self._headers = []
         self._target = bytearray()
         self.body = bytearray()
         self.in_head = True
 
     def on_url(self, piece: bytes) -> None:
-        """Collect the target."""
+        """Append a piece of the request target."""
         self._target += piece
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Collect one header."""
+        """Store one header."""
         self._headers.append((name, text))
 
     def on_headers_complete(self) -> None:
-        """Go on with the body."""
+        """Finish the head; answer ``Expect: 100-continue``."""
         self.in_head = False
         if any(
             name.lower() == b'expect' and text.lower() == b'100-continue'
@@ -83,11 +90,11 @@
             self._send_continue()
 
     def on_body(self, piece: bytes) -> None:
-        """Collect the body."""
+        """Append a piece of the body."""
         self.body += piece
 
     def on_message_complete(self) -> None:
-        """Keep a whole request until those before it are answered."""
+        """Queue the complete request until earlier ones are answered."""
         self.received_bytes = 0
         self.complete.append(
             WireRequest(
@@ -102,10 +109,10 @@
 
 
 class HttpCaller(asyncio.Protocol):
-    """Read whole requests and write answers, one after the other.
+    """Reads complete requests and writes responses, one at a time.
 
-    :param limits: returns the bounds in force for what callers send.
-    :param serve: starts to answer a whole request.
+    :param limits: returns the current limits on what callers may send.
+    :param serve: starts to answer a complete request.
     """
 
     def __init__(
@@ -113,7 +120,6 @@
         limits: Callable[[], CallerLimits],
         serve: Serve,
     ) -> None:
-        """Wait for the connection."""
         loop = asyncio.get_running_loop()
         self._limits = limits
         self._serve = serve
@@ -130,33 +136,33 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether the caller can still be answered."""
+        """Return whether a response can still be sent to the caller."""
         return not self._transport.is_closing()
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no part of a request has arrived."""
+        """Return whether no request is in progress or partly received."""
         return not (self.is_busy or self._collector.received_bytes)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to wait for a head."""
+        """Set the socket options and start the idle time-out."""
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         tune_socket(transport)
         self._timer.start(self._limits().idle_timeout_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell whoever answers that the caller went away."""
+        """Notify the current handler that the caller disconnected."""
         self._timer.clear()
         if self.on_lost is not None:
             self.on_lost()
 
     def eof_received(self) -> bool:
-        """Take the end of what the caller sends for its leaving."""
+        """Close the connection; a half-close counts as a disconnect."""
         return False
 
     def data_received(self, piece: bytes) -> None:
-        """Take in bytes."""
+        """Parse received bytes and start the next request, if complete."""
         if not self.is_busy and not self._collector.received_bytes:
             self._timer.start(self._limits().head_timeout_s)
         self._fault = self._collector.feed(piece) or self._fault
@@ -167,13 +173,13 @@
             self._start_next()
 
     def pause_writing(self) -> None:
-        """Slow down whoever answers."""
+        """Ask the current handler to pause; the write buffer is full."""
         self._timer.start(WRITE_TIMEOUT_S)
         if self.on_writable is not None:
             self.on_writable(on=False)
 
     def resume_writing(self) -> None:
-        """Let whoever answers go on."""
+        """Ask the current handler to resume writing."""
         self._timer.clear()
         if self.on_writable is not None:
             self.on_writable(on=True)
@@ -184,7 +190,7 @@
         headers: tuple[Header, ...] = (),
         body: bytes = b'',
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         keep_alive = self._should_keep_alive()
         sent_headers = (*headers, (b'Content-Length', b'%d' % len(body)))
         if not keep_alive:
@@ -194,7 +200,7 @@
         self._finish(keep_alive=keep_alive)
 
     def start_stream(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Send the head of an answer whose pieces follow."""
+        """Send the head of a chunked response."""
         sent_headers = (*headers, (b'Transfer-Encoding', b'chunked'))
         if not self._should_keep_alive():
             sent_headers = (*sent_headers, CLOSE_HEADER)
@@ -202,26 +208,30 @@
         self._transport.write(encode_head(status, sent_headers))
 
     def write_piece(self, piece: bytes) -> None:
-        """Send a piece of a stream."""
+        """Send one chunk of a chunked response."""
         self._transport.write(b'%x\r\n%b\r\n' % (len(piece), piece))
 
     def end_stream(self) -> None:
-        """End a stream as complete."""
+        """Send the last chunk and finish the response as complete."""
         self._transport.write(LAST_CHUNK)
         self._finish(keep_alive=self._should_keep_alive())
 
     def truncate_stream(self) -> None:
-        """Close without the end mark, so that a cut is seen as cut."""
+        """Close without the last chunk, so that the caller sees a cut stream.
+
+        Without the last chunk the caller cannot take the response for a
+        complete one.
+        """
         self._finish(keep_alive=False)
 
     def leave(self) -> None:
-        """Close now if idle, else after the answer that is under way."""
+        """Close now if idle, otherwise after the response in progress."""
         self.is_leaving = True
         if self.is_idle:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once, discarding data that was not sent yet."""
         self._transport.abort()
 
     def _check_bounds(self) -> None:
@@ -285,7 +295,7 @@
 
 
 def encode_head(status: int, headers: tuple[Header, ...]) -> bytes:
-    """Return the head of an answer."""
+    """Return the status line and headers of a response."""
     try:
         reason = HTTPStatus(status).phrase
     except ValueError:
--- a/src/siskinpass/connection/parsing.py
+++ b/src/siskinpass/connection/parsing.py
@@ -1,8 +1,9 @@
-"""Let CherryPy's server parse requests that have wholly arrived.
+"""Parse completely received requests with CherryPy's server (cheroot).
 
-The server's threads never touch a caller's socket: they get the bytes of one
-head (for a page with a body, of the whole request) and answer with a message.
-A slow or silent caller therefore holds no thread.
+The server's threads never touch a caller's socket. They receive the bytes of
+one head (of the whole request, for a page handler that needs the body) and
+return the result as a message. A slow or stalled caller therefore occupies no
+thread.
 """
 
 import io
@@ -40,9 +41,10 @@
 
 
 class ParsingServer(WsgiServer):
-    """Run CherryPy's request threads without a listening socket.
+    """CherryPy's thread pool without a listening socket.
 
-    :param relayed: path prefixes whose requests are passed on unanswered.
+    :param relay_prefixes: path prefixes whose requests are not answered by
+        the application but returned as a parsed head, to be relayed.
     """
 
     def __init__(
@@ -51,7 +53,7 @@
         threads: int,
         relay_prefixes: tuple[str, ...] = (),
     ) -> None:
-        """Prepare the threads; ``start_threads`` starts them."""
+        """Create the thread pool; ``start_threads`` starts it."""
         super().__init__(('127.0.0.1', 0), application, threads)
         self.max_request_header_size = MAX_HEADER_BYTES
         self.gateway = _choose_gateway
@@ -60,7 +62,7 @@
 
     @property
     def can_add_keepalive_connection(self) -> bool:
-        """Return that idle connections are kept, by their owner's bound."""
+        """Return true: idle connections are limited by their owner."""
         return True
 
     def start_threads(self) -> None:
@@ -74,19 +76,20 @@
         self.requests.stop(self.shutdown_timeout)
 
     def parse(self, received: bytes, remote: str, reply: Reply) -> None:
-        """Queue one request.
+        """Queue one request to be parsed.
 
-        :param arrived: the head, and the body as far as it is there.
-        :param reply: called from a request thread with what came of it.
+        :param received: the head and as much of the body as was received.
+        :param remote: IP address of the caller.
+        :param reply: called from a request thread with the result.
         """
         self.requests.put(_QueuedRequest(self, received, remote, reply))
 
     def error_log(self, *args: object, **kwargs: object) -> None:
-        """Keep quiet: what goes wrong is answered and counted."""
+        """Discard the message: errors are answered and counted instead."""
 
 
 class _QueuedRequest:
-    """Stand in a thread's queue for one request."""
+    """Request in the queue of the thread pool, in the role of a connection."""
 
     ssl_env: dict[str, str] = {}
     peercreds_enabled = False
@@ -109,12 +112,12 @@
         self._reply = reply
 
     def communicate(self) -> bool:
-        """Parse the request and send one message about it."""
+        """Parse the request and reply with exactly one result."""
         request = _CodedErrorRequest(self.server, self)
         try:
             self._respond(request)
         except Exception as error:
-            # The caller waits for this message, whatever went wrong.
+            # The caller waits for a reply, so any failure must produce one.
             self.outcome = PageAnswer(
                 error_answer(Code.malformed_head, repr(error)),
                 0,
@@ -124,7 +127,7 @@
         return False
 
     def close(self) -> None:
-        """Do nothing: the socket is owned elsewhere."""
+        """Do nothing: the connection is owned by the event loop."""
 
     def _respond(self, request: '_CodedErrorRequest') -> None:
         request.parse_request()
@@ -146,32 +149,35 @@
 
 
 class _Reader(io.BytesIO):
-    """Read what has arrived; counts as CherryPy's server expects."""
+    """Reader of the received bytes, with the counter cheroot expects."""
 
     bytes_read = 0
 
     def has_data(self) -> bool:
-        """Tell that there is nothing beyond this request."""
+        """Return false: there is no data beyond this request."""
         return False
 
 
 class _Writer(io.BytesIO):
-    """Collect the answer of a page."""
+    """Buffer for the response of a page, with the counter cheroot expects."""
 
     bytes_written = 0
 
 
 class _CodedErrorRequest(HTTPRequest):
-    """Answer what is malformed with a numbered error."""
+    """Request that is rejected with an error code if it is malformed."""
 
     @property
     def length(self) -> int:
-        """Return the announced length of the body in bytes."""
+        """Return the length of the body in bytes from ``Content-Length``.
+
+        It is 0 if the header is missing or not a number.
+        """
         text = self.inheaders.get(CONTENT_LENGTH, b'0')
         return int(text) if text.isdigit() else 0
 
     def simple_response(self, status: str | int, msg: str | Code = '') -> None:
-        """Write a numbered error in place of a plain text."""
+        """Reject the request with an error code instead of plain text."""
         self.close_connection = True
         code = (
             msg
@@ -190,10 +196,10 @@
 
 
 class _RelayGateway(Gateway):
-    """Pass a request on without answering it."""
+    """Gateway that returns the parsed head instead of a response."""
 
     def respond(self) -> None:
-        """Turn the parsed request into a message."""
+        """Set the result of the parsed request."""
         request = self.req
         request.ready = False
         request.conn.outcome = RequestHead(
@@ -211,10 +217,10 @@
 
 
 class _BodyGateway(Gateway):
-    """Ask for the body of a request to a page."""
+    """Gateway that requests the missing body for a page handler."""
 
     def respond(self) -> None:
-        """Turn the parsed request into a message."""
+        """Set the result of the parsed request."""
         self.req.ready = False
         self.req.conn.outcome = BodyNeeded(self.req.length)
 
--- a/src/siskinpass/connection/sockets.py
+++ b/src/siskinpass/connection/sockets.py
@@ -1,4 +1,4 @@
-"""Set the options that every TCP socket of the process gets."""
+"""Set the options of the process's TCP sockets."""
 
 import asyncio
 import socket
@@ -7,12 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketTimeouts:
-    """Set when the kernel gives a silent peer up.
+    """Time limits after which the kernel closes an unresponsive connection.
 
     :param idle_s: idle time before the first keep-alive probe.
-    :param every_s: time between probes.
-    :param probes: unanswered probes that end the connection.
-    :param user_ms: longest time that sent bytes stay unacknowledged.
+    :param interval_s: time between probes.
+    :param probes: number of unanswered probes that close the connection.
+    :param user_timeout_ms: longest time that sent data may stay
+        unacknowledged.
     """
 
     idle_s: int = 10
@@ -28,7 +29,11 @@
     transport: asyncio.BaseTransport,
     timeouts: SocketTimeouts = DEFAULT_TIMEOUTS,
 ) -> None:
-    """Let the kernel notice a peer that went silent for good."""
+    """Set keep-alive, the user timeout and ``TCP_NODELAY`` on a TCP socket.
+
+    The kernel then closes the connection if the peer stops responding.
+    Sockets that are not TCP are left unchanged.
+    """
     sock = transport.get_extra_info('socket')
     if sock is None or sock.family not in {socket.AF_INET, socket.AF_INET6}:
         return
--- a/src/siskinpass/connection/timer.py
+++ b/src/siskinpass/connection/timer.py
@@ -1,29 +1,32 @@
-"""Bound one wait at a time."""
+"""Restartable timeout of a connection."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class Timer:
-    """Call back when the wait that was started last takes too long."""
+    """Timeout that runs once at a time and calls back when it expires."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         on_expiry: Callable[[], None],
     ) -> None:
-        """Start without a wait."""
+        """Create a stopped timer.
+
+        :param on_expiry: called when the timer expires.
+        """
         self._loop = loop
         self._on_expiry = on_expiry
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, after_s: float) -> None:
-        """Start a wait in place of the one before."""
+        """Start the timer, replacing a running one."""
         self.clear()
         self._timer = self._loop.call_later(after_s, self._on_expiry)
 
     def clear(self) -> None:
-        """End the wait."""
+        """Stop the timer if it runs."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
