--- a/src/siskinpass/__init__.py
+++ b/src/siskinpass/__init__.py
@@ -1,7 +1,7 @@
 """Route language-model traffic with priorities and service levels.
 
-The coordination parts are pure: events and a clock go in, commands come out.
-They can be embedded without the daemon.
+The coordination classes do no I/O: they take events and the time and return
+commands, so they can be embedded without the daemon.
 """
 
 from siskinpass.codes import MEANINGS, Code, Ran
--- a/src/siskinpass/cli.py
+++ b/src/siskinpass/cli.py
@@ -1,4 +1,4 @@
-"""Run the daemon and speak to it from the command line."""
+"""Command line to run the daemon and to operate it."""
 
 import sys
 from typing import Annotated
@@ -30,13 +30,13 @@
 def serve_command(
     settings: Annotated[Settings, Parameter(name='*')],
 ) -> None:
-    """Run one entry instance until it is told to leave."""
+    """Run one entry instance until it is asked to shut down."""
     check_settings(settings)
     serve(settings)
 
 
 def main() -> None:
-    """Run the command line; exit with 2 where something is wrong."""
+    """Run the command line; exit with status 2 on an error."""
     try:
         app()
     except SiskinpassError as error:
--- a/src/siskinpass/cli_check.py
+++ b/src/siskinpass/cli_check.py
@@ -1,4 +1,4 @@
-"""Check a document from the command line."""
+"""Command that checks a document."""
 
 import sys
 from pathlib import Path
@@ -11,10 +11,10 @@
 
 
 def check(path: Path) -> None:
-    """Tell every fault of a settings file or configuration document.
+    """Print every error in a settings file or configuration document.
 
-    Exits with 0 where there is none, with 1 after printing one line for each,
-    with 2 where the file cannot be read.
+    Exits with 0 if there is none, with 1 after printing one line for each
+    error, and with 2 if the file cannot be read.
 
     :param path: file in YAML or JSON.
     """
--- a/src/siskinpass/cli_client.py
+++ b/src/siskinpass/cli_client.py
@@ -1,4 +1,4 @@
-"""Speak to the operators' side of an instance."""
+"""Client of the operator interface of an instance."""
 
 import os
 from dataclasses import dataclass
@@ -17,12 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """Hold where an operator connects and what they show.
+    """Address and credentials of an instance's operator interface.
 
-    :param instance: address of an instance's operators' side, with
-        ``http://`` or ``https://`` before it where that matters.
-    :param operator_key: key of the operators' side.
-    :param authority: certificate file to trust for ``https``.
+    :param instance: address of the operator interface; ``http`` is used
+        unless the address starts with ``https://``.
+    :param operator_key: key of the operator interface; if empty,
+        ``SISKINPASS_OPERATOR_KEY`` is used.
+    :param authority: file with the CA certificate to trust for ``https``.
     """
 
     instance: str = '127.0.0.1:8081'
@@ -30,9 +31,11 @@
     authority: str = ''
 
     def call(self, method: str, path: str, body: bytes = b'') -> Any:
-        """Call a page and return its JSON.
+        """Call the operator interface and return the decoded JSON body.
 
-        :raises SiskinpassError: with the code that the instance told.
+        :param path: path and query, without a leading slash.
+        :raises StoreError: if the instance does not answer.
+        :raises RemoteError: if it answers with an error, with that code.
         """
         http = urllib3.PoolManager(ca_certs=self.authority or None)
         base = self.instance
@@ -63,7 +66,7 @@
 
 
 class RemoteError(SiskinpassError):
-    """An instance answered with a numbered error."""
+    """An instance answered with an error code."""
 
 
 def _remote_error(document: Any) -> RemoteError:
--- a/src/siskinpass/cli_explain.py
+++ b/src/siskinpass/cli_explain.py
@@ -1,4 +1,4 @@
-"""Explain from the command line what happened to a request."""
+"""Command that shows what happened to a request."""
 
 import sys
 
@@ -8,10 +8,10 @@
 
 
 def explain(call_id: str) -> None:
-    """Follow one request through logs that are given on standard input.
+    """Print what the logs on standard input say about one request.
 
-    Exits with 1 where no line tells of it: it did not arrive, or ordinary
-    lines were left out under load and nothing failed.
+    Exits with 1 if no line mentions it: the request did not arrive, or it
+    succeeded and its lines were left out under load.
 
     :param call_id: the caller's id of its attempt.
     """
@@ -19,5 +19,5 @@
     for line in story:
         sys.stdout.write(f'{line}\n')
     if not story:
-        sys.stderr.write('siskinpass: no line tells of this request\n')
+        sys.stderr.write('siskinpass: no log line mentions this request\n')
         sys.exit(STATUS_UNKNOWN)
--- a/src/siskinpass/cli_status.py
+++ b/src/siskinpass/cli_status.py
@@ -1,4 +1,4 @@
-"""Print what holds from the command line."""
+"""Command that prints the state of a deployment."""
 
 import sys
 import time
@@ -17,7 +17,11 @@
     watch: bool = False,
     json: bool = False,
 ) -> None:
-    """Print each promise, what is measured, and the version in force."""
+    """Print the version in force, the instances and each class's attainment.
+
+    :param watch: whether to print the state again every second.
+    :param json: whether to print JSON instead of a table.
+    """
     while True:
         document = operator.call('GET', 'status')
         if json:
--- a/src/siskinpass/cli_tree.py
+++ b/src/siskinpass/cli_tree.py
@@ -1,4 +1,4 @@
-"""Edit the settings tree from the command line."""
+"""Commands that read and edit the settings tree."""
 
 import os
 import sys
@@ -22,11 +22,11 @@
 
 
 def print_document(document: Any, *, json: bool) -> None:
-    """Print a document as YAML, or as JSON."""
+    """Print a document as YAML or, if asked for, as JSON."""
     if json:
         text = orjson.dumps(document, option=orjson.OPT_INDENT_2).decode()
     else:
-        # YAML marks the end of a document that is a bare scalar.
+        # PyYAML appends the document end marker "..." to a bare scalar.
         text = yaml.safe_dump(document, sort_keys=False)
         text = text.removesuffix('...\n').rstrip()
     sys.stdout.write(f'{text}\n')
@@ -40,7 +40,11 @@
     operator: OperatorArgs = DEFAULT,
     json: bool = False,
 ) -> None:
-    """Print the tree, or the node at a path, of a version."""
+    """Print the tree or one node of it.
+
+    :param path: path of the node; empty for the whole tree.
+    :param version: version to read; 0 for the current one.
+    """
     page = f'tree/{version}' if version else 'tree'
     answer = operator.call('GET', page)
     print_document(get_node(answer['tree'], path), json=json)
@@ -56,7 +60,7 @@
     message: str = '',
     json: bool = False,
 ) -> None:
-    """Set one setting; the word ``null`` removes it."""
+    """Set one setting; the value ``null`` removes it."""
     answer = operator.call('GET', 'tree')
     tree = answer['tree']
     set_leaf(tree, path, yaml.safe_load(leaf))
@@ -74,10 +78,10 @@
     message: str = '',
     json: bool = False,
 ) -> None:
-    """Put the tree of a file in force.
+    """Apply the tree in a file as a new version.
 
-    With ``--base`` only what the file changes from that version is applied,
-    on top of what others changed meanwhile.
+    With ``--base``, only the differences between the file and that version
+    are applied, on top of edits that others made since.
     """
     text = path.read_text()
     parse_tree(text)
@@ -95,10 +99,10 @@
     message: str = '',
     json: bool = False,
 ) -> None:
-    """Write the tree to a new file, or apply the changes made in that file.
+    """Write the tree to a new file, or apply the edits made in that file.
 
-    The first line of the file names the version that it was taken from, so
-    that only the operator's own changes are applied.
+    The first line of the file records the version that was written, so that
+    only the operator's own edits are applied.
     """
     if path.exists():
         first, _, text = path.read_text().partition('\n')
@@ -109,12 +113,12 @@
     answer = operator.call('GET', 'tree')
     text = yaml.safe_dump(answer['tree'])
     path.write_text(f'{BASE_PREFIX}{answer["version"]}\n{text}')
-    sys.stdout.write(f'Change {path} and run the same command again.\n')
+    sys.stdout.write(f'Edit {path}, then run the same command again.\n')
 
 
 @tree_app.command
 def check(path: Path) -> None:
-    """Check a file and print it as it would be stored."""
+    """Validate the tree in a file and print it as it would be stored."""
     sys.stdout.write(dump_tree(parse_tree(path.read_text())))
 
 
@@ -126,7 +130,7 @@
     operator: OperatorArgs = DEFAULT,
     json: bool = False,
 ) -> None:
-    """Print what changed from one version to another."""
+    """Print the differences between two versions."""
     changes = operator.call('GET', f'diff?old={old}&new={new}')
     print_document(changes, json=json)
 
@@ -149,7 +153,7 @@
     author: str = '',
     json: bool = False,
 ) -> None:
-    """Put an earlier tree in force as a new, higher version."""
+    """Apply the tree of an earlier version as a new, higher version."""
     current = operator.call('GET', 'tree')['version']
     tree = operator.call('GET', f'tree/{version}')['tree']
     message = f'rollback to {version}'
@@ -157,7 +161,7 @@
 
 
 def key_command(*, default_class: str = '', json: bool = False) -> None:
-    """Make an API key and print it with the entry for the tree."""
+    """Generate an API key and print it with its entry for the tree."""
     key, entry = make_key(default_class)
     document = {
         'key': key,
--- a/src/siskinpass/connection/backend_requests.py
+++ b/src/siskinpass/connection/backend_requests.py
@@ -33,8 +33,8 @@
 ) -> bytes:
     """Return a request to a model engine, which always streams its response.
 
-    The caller's own fields are kept; without a ``max_tokens`` field the limit
-    promised for the request is sent.
+    If the caller did not set ``max_tokens``, the maximum of its request class
+    is sent.
     """
     fields = {
         **call.fields,
