--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -1,4 +1,4 @@
-"""Test how the end of a backend server's answer is understood."""
+"""Test the detection of complete and cut responses of backend servers."""
 
 import asyncio
 import socket
@@ -12,11 +12,11 @@
 HEAD = b'HTTP/1.1 200 OK\r\nX-Any: 1\r\n'
 UNFRAMED = HEAD + b'\r\nhalf of the '
 SIZED = HEAD + b'Content-Length: 4\r\n\r\nbody'
-LINGER_NONE = struct.pack('ii', 1, 0)
+NO_LINGER = struct.pack('ii', 1, 0)
 
 
 class Collector(AnswerSink):
-    """Note how an answer ended."""
+    """Sink that records the body and how the response ended."""
 
     def __init__(self, skip=0):
         self.body = b''
@@ -38,7 +38,7 @@
 
 
 def answer_once(listener, pieces, *, reset):
-    """Answer one connection in pieces, then end or reset it."""
+    """Answer one connection in pieces, then close or reset it."""
     listener.settimeout(5)
     peer, _ = listener.accept()
     peer.settimeout(5)
@@ -46,12 +46,12 @@
     for piece in pieces:
         peer.sendall(piece)
     if reset:
-        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
     peer.close()
 
 
 async def fetch(pieces, *, reset, skip=0):
-    """Send one request and return how its answer ended."""
+    """Send one request; return how its response ended and the body."""
     loop = asyncio.get_running_loop()
     with socket.create_server(('127.0.0.1', 0)) as listener:
         host, port = listener.getsockname()
@@ -59,16 +59,17 @@
         connection = await pool.connect(f'{host}:{port}', fresh=True)
         collector = Collector(skip)
         connection.send(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n', collector)
-        await asyncio.sleep(0)  # uvloop writes at the end of a turn
+        await asyncio.sleep(0)  # uvloop writes at the end of an iteration
         await asyncio.sleep(0)
-        # Holds the loop up: answer and end arrive before either is read.
+        # Blocks the event loop, so that the response and the close or reset
+        # both arrive before either is read.
         answer_once(listener, pieces, reset=reset)
         ended = await collector.ended
     return ended, collector.body
 
 
 class TestAnswerEnd:
-    """Test whole and cut answers."""
+    """Test complete and cut responses."""
 
     @pytest.mark.parametrize('run', [asyncio.run, uvloop.run])
     @pytest.mark.parametrize(
@@ -80,17 +81,17 @@
             ([SIZED[:-1]], False, ('cut', b'bod')),
         ],
     )
-    def test_tells_end_from_reset(self, run, pieces, reset, expected):
-        """Only an orderly end completes an answer without a length."""
+    def test_reset_is_not_end(self, run, pieces, reset, expected):
+        """Only a regular close completes a response without a length."""
         assert run(fetch(pieces, reset=reset)) == expected
 
     def test_skips_answer_of_another_request(self):
-        """A late answer before the own one is read over."""
+        """A late response to an earlier request is skipped."""
         late = HEAD + b'Content-Length: 5\r\n\r\nother'
         found = asyncio.run(fetch([late + SIZED], reset=False, skip=1))
         assert found == ('whole', b'body')
 
-    def test_bytes_after_an_answer_belong_to_none(self):
-        """A second answer is dropped and its connection not kept."""
+    def test_drops_unsolicited_answer(self):
+        """A second response without a request is discarded."""
         found = asyncio.run(fetch([SIZED + SIZED], reset=False))
         assert found == ('whole', b'body')
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -21,7 +21,7 @@
 
 
 def siskinpass(*args, **environment):
-    """Run the command line and return how it ended."""
+    """Run the command line and return the finished process."""
     return subprocess.run(
         [sys.executable, '-m', 'siskinpass', *args],
         capture_output=True,
@@ -33,7 +33,7 @@
 
 
 def tree(cluster, *args):
-    """Run a command of the settings tree against a deployment."""
+    """Run a ``tree`` command against a running deployment."""
     return siskinpass(
         'tree',
         *args,
@@ -44,7 +44,7 @@
 
 
 class TestSettings:
-    """Test that wrong settings end in one clear line."""
+    """Test that invalid settings are reported in one line."""
 
     @pytest.mark.parametrize(
         ('name', 'text', 'wanted'),
@@ -60,58 +60,58 @@
         ],
     )
     def test_wrong_setting(self, name, text, wanted):
-        """The process says what is wrong and exits with 2."""
+        """The process reports the invalid setting and exits with 2."""
         flags = [
             part
             for flag, given in {**SERVE, name: text}.items()
             for part in (f'--{flag}', given)
         ]
-        ended = siskinpass('serve', *flags)
-        assert ended.returncode == 2
-        assert ended.stderr.startswith('siskinpass: 6001 ')
-        assert wanted in ended.stderr
-        assert ended.stderr.count('\n') == 1
+        process = siskinpass('serve', *flags)
+        assert process.returncode == 2
+        assert process.stderr.startswith('siskinpass: 6001 ')
+        assert wanted in process.stderr
+        assert process.stderr.count('\n') == 1
 
     def test_settings_from_the_environment(self):
-        """Each flag has an environment variable."""
+        """Each flag can be set by an environment variable."""
         environment = {
             f'SISKINPASS_{name.upper().replace("-", "_")}': text
             for name, text in {**SERVE, 'zone': 'x', 'threads': '0'}.items()
         }
-        ended = siskinpass('serve', **environment)
-        assert 'threads is less than 1' in ended.stderr
+        process = siskinpass('serve', **environment)
+        assert 'threads is less than 1' in process.stderr
 
     def test_address_in_use(self, cluster):
-        """An address that is taken is told in one line."""
-        taken = {**SERVE, 'peers': cluster.entries[0].peers}
+        """An address that is in use is reported with code 6001."""
+        settings = {**SERVE, 'peers': cluster.entries[0].peers}
         flags = [
             part
-            for flag, given in taken.items()
+            for flag, given in settings.items()
             for part in (f'--{flag}', given)
         ]
-        ended = siskinpass('serve', *flags)
-        assert ended.returncode == 2
-        assert 'siskinpass: 6001 ' in ended.stderr
+        process = siskinpass('serve', *flags)
+        assert process.returncode == 2
+        assert 'siskinpass: 6001 ' in process.stderr
 
 
 class TestTree:
-    """Test editing the tree as an operator does."""
+    """Test the commands that read and edit the settings tree."""
 
     def test_set_history_diff_rollback(self, cluster):
-        """An edit is read back, compared and taken back as a new version."""
+        """An edit can be read back, compared and rolled back."""
         path = 'workspaces/colina/classes/summary/max_wait_ms'
         before = tree(cluster, 'get', path).stdout.strip()
         first = int(tree(cluster, 'set', path, '44000').stdout.split()[-1])
         assert tree(cluster, 'get', path).stdout.strip() == '44000'
-        told = tree(cluster, 'diff', str(first - 1), str(first)).stdout
-        assert path in told
+        output = tree(cluster, 'diff', str(first - 1), str(first)).stdout
+        assert path in output
         assert f'number: {first}' in tree(cluster, 'history').stdout
         back = tree(cluster, 'rollback', str(first - 1)).stdout
         assert int(back.split()[-1]) == first + 1
         assert tree(cluster, 'get', path).stdout.strip() == before
 
     def test_edit_through_a_file(self, cluster, tmp_path):
-        """A file is written first and applied the second time."""
+        """The first call writes the file, the second one applies it."""
         draft = Path(tmp_path / 'tree.yaml')
         assert tree(cluster, 'edit', str(draft)).returncode == 0
         text = draft.read_text()
@@ -119,8 +119,8 @@
             text.replace('deployment: fieltro', 'deployment: other'),
         )
         assert tree(cluster, 'edit', str(draft)).returncode == 0
-        told = tree(cluster, 'get', 'deployment').stdout
-        assert told.startswith('other')
+        output = tree(cluster, 'get', 'deployment').stdout
+        assert output.startswith('other')
 
     @pytest.mark.parametrize(
         ('args', 'code'),
@@ -131,25 +131,25 @@
             (('set', 'settings/tear', '1'), '5001'),
         ],
     )
-    def test_wrong_command_tells_its_code(self, cluster, args, code):
-        """A refused edit is told in one line with its code."""
-        ended = tree(cluster, *args)
-        assert ended.returncode == 2
-        assert ended.stderr.startswith(f'siskinpass: {code} ')
+    def test_error_is_reported_with_code(self, cluster, args, code):
+        """A rejected command is reported with its code."""
+        process = tree(cluster, *args)
+        assert process.returncode == 2
+        assert process.stderr.startswith(f'siskinpass: {code} ')
 
     def test_status_is_a_table(self, cluster):
-        """Operators see versions and promises at a glance."""
-        ended = siskinpass(
+        """The status lists the version in force and the instances."""
+        process = siskinpass(
             'status',
             '--instance',
             cluster.operators,
             SISKINPASS_OPERATOR_KEY=OPERATOR_KEY,
         )
-        assert ended.stdout.startswith('version ')
-        assert 'entry-3' in ended.stdout
+        assert process.stdout.startswith('version ')
+        assert 'entry-3' in process.stdout
 
     def test_key(self):
-        """A new key comes with the entry that the tree holds."""
-        told = siskinpass('key', '--default-class', 'counter').stdout
-        assert 'key: ' in told
-        assert 'digest: ' in told
+        """A new key is printed with its entry for the tree."""
+        output = siskinpass('key', '--default-class', 'counter').stdout
+        assert 'key: ' in output
+        assert 'digest: ' in output
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""Test how the platform's documents are decoded."""
+"""Test the decoding of the platform's documents."""
 
 import copy
 
@@ -50,7 +50,7 @@
     'limits': {'max-body-bytes': 99, 'idle-timeout-ms': 15000},
     'tenants': [{'name': 'w', 'api-keys': ['k'], 'priority': 1}],
 }
-WORKER = {
+SERVER = {
     'service': 'lm',
     'address': '10.0.0.1:80',
     'zone': 'a',
@@ -61,7 +61,7 @@
 
 
 def changed(document, path, value):
-    """Return a copy of a document with one field changed, None drops it."""
+    """Return a copy of a document with one field set; ``None`` removes it."""
     copied = copy.deepcopy(document)
     table = copied
     for step in path[:-1]:
@@ -74,10 +74,10 @@
 
 
 class TestSettings:
-    """Test the settings file."""
+    """Test decoding of the settings file."""
 
     def test_reads_fields_and_ignores_unknown(self):
-        """Times come in seconds, what is not stated has a default."""
+        """Times are converted to seconds; missing fields get defaults."""
         settings = decode_settings(SETTINGS.encode())
         assert settings.peers == '127.0.0.1:7340'
         assert settings.promises.directory_s == pytest.approx(4)
@@ -94,17 +94,17 @@
             ('node-name', '{node-name'),
         ],
     )
-    def test_tells_what_is_wrong(self, old, new):
-        """A missing or wrong field is an error, nothing is half started."""
+    def test_rejects_invalid_settings(self, old, new):
+        """A missing or invalid field raises; no partial settings result."""
         with pytest.raises(SettingsError):
             decode_settings(SETTINGS.replace(old, new).encode())
 
 
 class TestConfig:
-    """Test the operator's configuration."""
+    """Test decoding of the operator's configuration."""
 
-    def test_reads_a_whole_table(self):
-        """Each name is decoded once, into seconds and checked types."""
+    def test_decodes_complete_configuration(self):
+        """Each field is decoded to its checked type; times to seconds."""
         table = decode_config(CONFIG)
         route = table.routes[0]
         assert (table.version, route.repeat) == (7, Repeat.stream)
@@ -115,7 +115,7 @@
         assert table.workspace_of('k').tier == 1
 
     def test_splits_by_weight(self):
-        """A split replaces the single service; weight 0 gets nothing."""
+        """A split replaces the single service; weight 0 gets no requests."""
         split = [
             {'service': 'a', 'weight': 9},
             {'service': 'b', 'weight': 0},
@@ -125,8 +125,8 @@
         assert [share.service for share in shares] == ['a']
 
     @pytest.mark.parametrize('document', [5, None, 'text', [CONFIG]])
-    def test_no_table_is_no_configuration(self, document):
-        """A value of another kind is told apart from a configuration."""
+    def test_rejects_document_that_is_no_mapping(self, document):
+        """A document that is not a mapping raises ``FormatError``."""
         with pytest.raises(FormatError):
             decode_config(document)
 
@@ -143,14 +143,14 @@
             (('tenants', 0, 'api-keys'), 'k'),
         ],
     )
-    def test_refuses_a_wrong_table_whole(self, path, value):
-        """No part of a table with a fault is applied."""
+    def test_rejects_invalid_field(self, path, value):
+        """One invalid field rejects the whole configuration."""
         with pytest.raises(FormatError):
             decode_config(changed(CONFIG, path, value))
 
 
 class TestFaults:
-    """Test that a check tells every fault with its place."""
+    """Test that the check reports every error with its location."""
 
     @pytest.mark.parametrize(
         ('document', 'places'),
@@ -164,8 +164,8 @@
             (CONFIG | {'version': 'x'}, ['']),
         ],
     )
-    def test_names_places(self, document, places):
-        """Faults of several rows are told at once."""
+    def test_reports_location_of_each_error(self, document, places):
+        """Errors in several entries are reported at once."""
         faults = find_faults(orjson.dumps(document))
         assert [fault.path for fault in faults] == places
 
@@ -173,23 +173,23 @@
         ('text', 'count'),
         [(SETTINGS, 0), ('node-name: 5', 1), ('{', 1), ('5', 1)],
     )
-    def test_reads_settings(self, text, count):
-        """A document without routes is a settings file."""
+    def test_checks_settings_file(self, text, count):
+        """A document without ``routes`` is checked as a settings file."""
         assert len(find_faults(text.encode())) == count
 
 
-class TestWorkers:
-    """Test the entries of backend servers."""
+class TestServers:
+    """Test decoding of the entries of backend servers."""
 
-    def test_reads_an_entry(self):
-        """The entry's name is the server's id."""
-        view = decode_server('i-1', WORKER)
+    def test_decodes_entry(self):
+        """The name of the entry becomes the id of the server."""
+        view = decode_server('i-1', SERVER)
         assert (view.name, view.pool, view.slots) == ('i-1', 'lm', 64)
         assert (view.leaving, view.incarnation) == (False, 17)
 
     def test_draining_is_leaving(self):
-        """A draining server gets nothing new."""
-        assert decode_server('i-1', WORKER | {'state': 'draining'}).leaving
+        """The state ``draining`` is decoded as leaving."""
+        assert decode_server('i-1', SERVER | {'state': 'draining'}).leaving
 
     @pytest.mark.parametrize(
         'entry',
@@ -198,33 +198,33 @@
             'text',
             [],
             {},
-            WORKER | {'state': 'asleep'},
-            WORKER | {'state': 5},
-            WORKER | {'address': 'nowhere'},
-            WORKER | {'service': None},
-            WORKER | {'slots': 'many'},
-            WORKER | {'born': 1.5},
+            SERVER | {'state': 'asleep'},
+            SERVER | {'state': 5},
+            SERVER | {'address': 'nowhere'},
+            SERVER | {'service': None},
+            SERVER | {'slots': 'many'},
+            SERVER | {'born': 1.5},
         ],
     )
-    def test_unreadable_entry_names_no_server(self, entry):
-        """An entry of another writer is an error to its reader alone."""
+    def test_rejects_invalid_entry(self, entry):
+        """An invalid entry, perhaps of another writer, raises."""
         with pytest.raises(FormatError):
             decode_server('i-1', entry)
 
 
 class TestObjects:
-    """Test the store's pages."""
+    """Test decoding of the object store's pages."""
 
-    def test_reads_pages(self):
-        """A page that has more names where to go on."""
+    def test_decodes_list_page(self):
+        """A page that is not the last names where the next one starts."""
         row = {'metadata': {'name': 'x', 'revision': 4}, 'spec': {'a': 1}}
         body = {'items': [row], 'has-more': True, 'current-rev': 9}
         page = objects.decode_list(orjson.dumps(body))
         assert (page.next_name, page.revision) == ('x', 9)
         assert page.stored[0].body == {'a': 1}
 
-    def test_reads_changes(self):
-        """A deletion is told apart from a change."""
+    def test_decodes_deletion(self):
+        """A deletion in a watch is marked as one."""
         row = {'metadata': {'name': 'x'}}
         event = {'object': row, 'deleted': True}
         body = {'events': [event], 'current-rev': 9}
@@ -235,14 +235,14 @@
         'body',
         [b'', b'[]', b'{"items":[]}', b'{"items":[5],"current-rev":1}'],
     )
-    def test_refuses_unreadable_pages(self, body):
-        """Bytes that cannot be read are an error."""
+    def test_rejects_invalid_page(self, body):
+        """A body that is not a valid page raises ``FormatError``."""
         with pytest.raises(FormatError):
             objects.decode_list(body)
 
 
 class TestDirectory:
-    """Test what callers and instances ask."""
+    """Test directory look-ups and membership records."""
 
     @pytest.mark.parametrize(
         ('target', 'zone'),
@@ -251,16 +251,16 @@
             ('/-/resolution', ''),
         ],
     )
-    def test_reads_questions(self, target, zone):
-        """The zone may be missing."""
+    def test_decodes_query(self, target, zone):
+        """The zone of a look-up is optional."""
         assert directory.decode_resolution_query(target).zone == zone
 
-    def test_other_paths_are_no_question(self):
-        """Another path gets no answer."""
+    def test_ignores_other_path(self):
+        """A request for another path is not a look-up."""
         assert directory.decode_resolution_query('/other') is None
 
-    def test_members_survive_the_store(self):
-        """An instance is read back as it was written."""
+    def test_member_round_trip(self):
+        """A member is decoded as it was encoded; an invalid one is ``None``."""
         member = Member('n', '1.1.1.1:1', '1.1.1.1:2', 'a', incarnation=5)
         stored = directory.encode_member(member)
         assert directory.decode_member(stored) == member
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -1,4 +1,4 @@
-"""Test how requests and answers are translated."""
+"""Test the translation of request and response headers."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 )
 from siskinpass.request.inbound import SendOrder, WireRequest
 
-FORGED = (
+FORGED_HEADERS = (
     b'X-Hold',
     b'X-Pin-Ms',
     b'X-Kv-Backup',
@@ -29,10 +29,10 @@
 
 
 class TestCall:
-    """Test what is read from a request and passed on."""
+    """Test decoding of a request and encoding for the backend server."""
 
-    def test_reads_prompt_and_time(self):
-        """Tokens, parts and the caller's patience are decoded."""
+    def test_decodes_prompt_and_deadline(self):
+        """Token counts, prompt parts and the caller's time limit are read."""
         call = decode_call(
             request(
                 (b'Host', b'h.example'),
@@ -61,20 +61,20 @@
             (b'X-Prompt-Prefix', b':,x'),
         ],
     )
-    def test_unreadable_headers_count_as_missing(self, name, text):
-        """No header of a caller can fail its decoding."""
+    def test_invalid_header_counts_as_missing(self, name, text):
+        """An invalid header does not make the decoding fail."""
         call = decode_call(request((name, text)))
         assert (call.patience_s, call.prompt.tokens_in) == (0.0, 0)
 
-    @pytest.mark.parametrize('name', FORGED)
+    @pytest.mark.parametrize('name', FORGED_HEADERS)
     def test_forged_system_headers_are_dropped(self, name):
-        """What only this system sets never comes from a caller."""
+        """Headers that only this system sets are not taken from a caller."""
         call = decode_call(request((name, b'forged')))
         wire = encode_send(call, SendOrder('i-1', 1.0))
         assert b'forged' not in wire
 
     def test_connection_headers_are_dropped(self):
-        """Headers of one connection go no further, named ones neither."""
+        """Hop-by-hop headers and those named in ``Connection`` are dropped."""
         call = decode_call(
             request(
                 (b'Connection', b'close, X-Own'),
@@ -86,7 +86,7 @@
         assert call.headers == ((b'X-Kept', b'2'),)
 
     def test_sends_method_path_and_body_unchanged(self):
-        """The request is the caller's, with the orders of this system."""
+        """The caller's request is sent with this system's headers added."""
         call = decode_call(request((b'X-Attempt-Id', b'id-1')))
         wire = encode_send(call, SendOrder('i-1', 0.25, 'w', urgency=0))
         head, _, body = wire.partition(b'\r\n\r\n')
@@ -101,7 +101,7 @@
 
 
 class TestAnswer:
-    """Test what is read from an answer's head."""
+    """Test decoding of a response head."""
 
     @pytest.mark.parametrize(
         ('status', 'headers', 'not_run'),
@@ -118,11 +118,11 @@
         headers,
         not_run,
     ):
-        """A status alone, but for 421, proves nothing."""
+        """No status except 421 shows that the request was not run."""
         assert decode_answer(status, headers).not_run is not_run
 
-    def test_passes_receipt_on(self):
-        """The receipt goes to the caller, connection headers do not."""
+    def test_forwards_receipt(self):
+        """The receipt is forwarded to the caller, hop-by-hop headers not."""
         head = decode_answer(
             200,
             (
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""Test that the platform's names stay in its adapter."""
+"""Test that the platform's wire names appear only in its adapter."""
 
 import re
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 PACKAGE = Path(__file__).parent.parent / 'src' / 'siskinpass'
 ADAPTER = PACKAGE / 'platform'
-# Names of headers, paths, fields and kinds on the platform's wire.
+# Headers, paths, fields and kinds of the platform's interfaces.
 NAMES = (
     'x-attempt-id',
     'x-server-seal',
@@ -51,17 +51,17 @@
 
 
 class TestNames:
-    """Test the boundary of the adapter."""
+    """Test where wire names appear."""
 
     @pytest.mark.parametrize('path', SOURCES, ids=str)
     def test_no_wire_name_outside(self, path):
-        """Nothing outside the adapter knows a name of the wire."""
+        """No module outside the adapter contains a wire name."""
         text = path.read_text().lower()
         found = [name for name in NAMES if re.search(re.escape(name), text)]
         assert not found
 
-    def test_names_stand_in_the_adapter(self):
-        """The list above names what the adapter really decodes."""
+    def test_names_are_used_in_adapter(self):
+        """Every listed name appears in the adapter, apart from a few."""
         text = ''.join(
             path.read_text().lower() for path in ADAPTER.glob('*.py')
         )
