--- a/src/siskinpass/cli_tree.py
+++ b/src/siskinpass/cli_tree.py
@@ -113,7 +113,7 @@
     answer = operator.call('GET', 'tree')
     text = yaml.safe_dump(answer['tree'])
     path.write_text(f'{BASE_PREFIX}{answer["version"]}\n{text}')
-    sys.stdout.write(f'Edit {path}, then run the same command again.\n')
+    sys.stdout.write(f'Change {path} and run the same command again.\n')
 
 
 @tree_app.command
--- a/src/siskinpass/connection/backend.py
+++ b/src/siskinpass/connection/backend.py
@@ -238,14 +238,14 @@
         :raises ConnectError: if no connection can be opened; nothing was
             sent.
         """
-        kept = None if fresh else self._pop_idle(address)
-        if kept is not None:
-            return kept
+        idle = None if fresh else self._pop_idle(address)
+        if idle is not None:
+            return idle
         host, port = address.rsplit(':', 1)
         opening = self._loop.create_connection(
             partial(
                 BackendConnection,
-                partial(self._keep, address),
+                partial(self._add_idle, address),
                 partial(self._remove_closed, address),
             ),
             host,
@@ -269,9 +269,9 @@
             connection.cancel()
 
     def _pop_idle(self, address: str) -> BackendConnection | None:
-        kept = self._idle.get(address, [])
-        while kept:
-            connection = kept.pop()
+        idle = self._idle.get(address, [])
+        while idle:
+            connection = idle.pop()
             if (
                 connection.is_open
                 and connection.idle_until_s > self._loop.time()
@@ -280,18 +280,18 @@
             connection.cancel()
         return None
 
-    def _keep(self, address: str, connection: BackendConnection) -> None:
-        kept = self._idle.setdefault(address, [])
-        if len(kept) >= self._policy.max_idle:
+    def _add_idle(self, address: str, connection: BackendConnection) -> None:
+        idle = self._idle.setdefault(address, [])
+        if len(idle) >= self._policy.max_idle:
             connection.cancel()
             return
         idle_s = min(self._policy.idle_s, connection.idle_s)
         connection.idle_until_s = self._loop.time() + idle_s
-        kept.append(connection)
+        idle.append(connection)
 
     def _remove_closed(
         self, address: str, connection: BackendConnection
     ) -> None:
-        kept = self._idle.get(address, [])
-        if connection in kept:
-            kept.remove(connection)
+        idle = self._idle.get(address, [])
+        if connection in idle:
+            idle.remove(connection)
--- a/src/siskinpass/connection/caller.py
+++ b/src/siskinpass/connection/caller.py
@@ -193,9 +193,9 @@
         self._submit_to_parser(self._consume(head_length))
 
     def _consume(self, length: int) -> bytes:
-        taken = bytes(self._buffer[:length])
+        consumed = bytes(self._buffer[:length])
         self._buffer = self._buffer[length:]
-        return taken
+        return consumed
 
     def _submit_to_parser(self, received: bytes) -> None:
         remote = self._transport.get_extra_info('peername')
--- a/src/siskinpass/connection/fetch.py
+++ b/src/siskinpass/connection/fetch.py
@@ -71,10 +71,7 @@
     try:
         return await asyncio.wait_for(collector.finished, timeout_s)
     except TimeoutError as error:
-        raise BackendError(
-            Code.stream_silent,
-            f'no complete response within {timeout_s} s',
-        ) from error
+        raise BackendError(Code.stream_silent, 'silent') from error
     finally:
         if not _is_answered(collector):
             connection.cancel()
--- a/src/siskinpass/platform/headers.py
+++ b/src/siskinpass/platform/headers.py
@@ -65,7 +65,8 @@
         request=request,
         host=_header_text(by_name, b'host'),
         call_id=_header_text(by_name, CALL_ID),
-        patience_s=_number(_header_text(by_name, DEADLINE)) / MS_PER_S,
+        patience_s=_nonnegative_number(_header_text(by_name, DEADLINE))
+        / MS_PER_S,
         key=_bearer(_header_text(by_name, AUTHORIZATION)),
         resume_after=_header_text(by_name, RESUME),
         prompt=_prompt(by_name),
@@ -135,15 +136,19 @@
     entries = _header_text(by_name, b'x-prompt-prefix').split(',')
     return Prompt(
         parts=tuple(_part(entry) for entry in entries if entry),
-        tokens_in=int(_number(counts[0])),
-        tokens_out_most=int(_number(counts[-1])) if len(counts) > 1 else 0,
-        tokens_out_hint=int(_number(_header_text(by_name, b'x-length-hint'))),
+        tokens_in=int(_nonnegative_number(counts[0])),
+        tokens_out_most=int(_nonnegative_number(counts[-1]))
+        if len(counts) > 1
+        else 0,
+        tokens_out_hint=int(
+            _nonnegative_number(_header_text(by_name, b'x-length-hint'))
+        ),
     )
 
 
 def _part(entry: str) -> PromptPart:
     key, _, tokens = entry.strip().partition(':')
-    return PromptPart(key, int(_number(tokens)))
+    return PromptPart(key, int(_nonnegative_number(tokens)))
 
 
 def _bearer(text: str) -> str:
@@ -156,7 +161,7 @@
     for parameter in text.split(','):
         name, _, seconds = parameter.strip().partition('=')
         if name.lower() == 'timeout':
-            return _number(seconds)
+            return _nonnegative_number(seconds)
     return 0.0
 
 
@@ -164,7 +169,7 @@
     return by_name.get(name, b'').decode('latin-1').strip()
 
 
-def _number(text: str) -> float:
+def _nonnegative_number(text: str) -> float:
     try:
         return max(0.0, float(text))
     except ValueError:
