--- a/src/siskinpass/connection/backend.py
+++ b/src/siskinpass/connection/backend.py
@@ -19,9 +19,9 @@
 MAX_IDLE_PER_SERVER = 64
 STATUS_OK = 200
 STATUSES_WITHOUT_BODY = frozenset((204, 304))
+# Equal to the time that callers wait for the next event of a stream: a backend
+# server that acknowledges nothing for that long is treated as unreachable.
 UNACKED_TIMEOUT_MS = 3000
-# As long as callers wait for the next event of a stream: a backend server that
-# acknowledges no data for that long is treated as unreachable.
 BACKEND_SOCKET_TIMEOUTS = SocketTimeouts(
     idle_s=2, interval_s=1, probes=2, user_timeout_ms=UNACKED_TIMEOUT_MS
 )
--- a/src/siskinpass/connection/caller.py
+++ b/src/siskinpass/connection/caller.py
@@ -70,7 +70,7 @@
         return not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the socket options and start the idle time-out."""
+        """Set the socket options and start the idle timeout."""
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         tune_socket(transport)
--- a/src/siskinpass/connection/http_caller.py
+++ b/src/siskinpass/connection/http_caller.py
@@ -16,7 +16,7 @@
 
 MAX_PIPELINED = 16  # requests that wait behind the one in progress
 WRITE_HIGH_WATER_BYTES = 262_144
-WRITE_TIMEOUT_S = 30.0  # as long as the longest time-out of a route
+WRITE_TIMEOUT_S = 30.0  # as long as the longest timeout of a route
 LAST_CHUNK = b'0\r\n\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 CLOSE_HEADER = (b'Connection', b'close')
@@ -145,7 +145,7 @@
         return not (self.is_busy or self._collector.received_bytes)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the socket options and start the idle time-out."""
+        """Set the socket options and start the idle timeout."""
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         tune_socket(transport)
--- a/src/siskinpass/platform/objects.py
+++ b/src/siskinpass/platform/objects.py
@@ -1,4 +1,4 @@
-"""Build paths and bodies of the platform's object store, decode its pages."""
+"""Encode requests to the platform's object store and decode its pages."""
 
 from dataclasses import dataclass
 from typing import Any
