--- a/src/siskinpass/cli_status.py
+++ b/src/siskinpass/cli_status.py
@@ -1,11 +1,11 @@
-"""Print what holds from the command line."""
+"""Command that prints the state of a deployment."""
 
 import sys
 import time
 from collections.abc import Mapping
 from typing import Any
 
-from siskinpass.cli_tree import DEFAULT, OperatorArgs, show
+from siskinpass.cli_tree import DEFAULT, OperatorArgs, print_document
 
 WATCH_EVERY_S = 1.0
 ROW = '{:<36}{:<11}{:>9}{:>9}{:>9}{:>9}  {}\n'
@@ -17,11 +17,15 @@
     watch: bool = False,
     json: bool = False,
 ) -> None:
-    """Print each promise, what is measured, and the version in force."""
+    """Print the version in force, the instances and each class's attainment.
+
+    :param watch: whether to print the state again every second.
+    :param json: whether to print JSON instead of a table.
+    """
     while True:
         document = operator.call('GET', 'status')
         if json:
-            show(document, json=True)
+            print_document(document, json=True)
         else:
             sys.stdout.write(_table(document))
         if not watch:
@@ -30,10 +34,10 @@
 
 
 def _table(document: Mapping[str, Any]) -> str:
-    spread = 'everywhere'
+    reach = 'everywhere'
     if not document['in_force_everywhere']:
-        spread = f'not yet at {", ".join(document["behind"])}'
-    lines = [f'version {document["version"]}, in force {spread}\n']
+        reach = f'not yet at {", ".join(document["behind"])}'
+    lines = [f'version {document["version"]}, in force {reach}\n']
     for name, instance in sorted(document['instances'].items()):
         lines.append(
             f'  {name:<20}{instance["state"]:<10}{instance["zone"]:<14}'
--- a/src/siskinpass/cli_tree.py
+++ b/src/siskinpass/cli_tree.py
@@ -1,4 +1,4 @@
-"""Edit the settings tree from the command line."""
+"""Commands that read and edit the settings tree."""
 
 import os
 import sys
@@ -18,15 +18,15 @@
 
 OperatorArgs = Annotated[Operator, Parameter(name='*')]
 DEFAULT = Operator()
-BASE_LINE = '# version '
+BASE_PREFIX = '# version '
 
 
-def show(document: Any, *, json: bool) -> None:
-    """Print a document as YAML, or as JSON."""
+def print_document(document: Any, *, json: bool) -> None:
+    """Print a document as YAML or, if asked for, as JSON."""
     if json:
         text = orjson.dumps(document, option=orjson.OPT_INDENT_2).decode()
     else:
-        # YAML marks the end of a document that is a bare scalar.
+        # PyYAML appends the document end marker "..." to a bare scalar.
         text = yaml.safe_dump(document, sort_keys=False)
         text = text.removesuffix('...\n').rstrip()
     sys.stdout.write(f'{text}\n')
@@ -40,10 +40,14 @@
     operator: OperatorArgs = DEFAULT,
     json: bool = False,
 ) -> None:
-    """Print the tree, or the node at a path, of a version."""
+    """Print the tree or one node of it.
+
+    :param path: path of the node; empty for the whole tree.
+    :param version: version to read; 0 for the current one.
+    """
     page = f'tree/{version}' if version else 'tree'
     answer = operator.call('GET', page)
-    show(get_node(answer['tree'], path), json=json)
+    print_document(get_node(answer['tree'], path), json=json)
 
 
 @tree_app.command(name='set')
@@ -56,12 +60,12 @@
     message: str = '',
     json: bool = False,
 ) -> None:
-    """Set one setting; the word ``null`` removes it."""
+    """Set one setting; the value ``null`` removes it."""
     answer = operator.call('GET', 'tree')
     tree = answer['tree']
     set_leaf(tree, path, yaml.safe_load(leaf))
     message = message or f'set {path}'
-    _propose(operator, answer['version'], tree, author, message, json=json)
+    _submit_edit(operator, answer['version'], tree, author, message, json=json)
 
 
 @tree_app.command
@@ -74,16 +78,16 @@
     message: str = '',
     json: bool = False,
 ) -> None:
-    """Put the tree of a file in force.
+    """Apply the tree in a file as a new version.
 
-    With ``--base`` only what the file changes from that version is applied,
-    on top of what others changed meanwhile.
+    With ``--base``, only the differences between the file and that version
+    are applied, on top of edits that others made since.
     """
     text = path.read_text()
     parse_tree(text)
     if base is None:
         base = operator.call('GET', 'tree')['version']
-    _propose(operator, base, text, author, message, json=json)
+    _submit_edit(operator, base, text, author, message, json=json)
 
 
 @tree_app.command
@@ -95,26 +99,26 @@
     message: str = '',
     json: bool = False,
 ) -> None:
-    """Write the tree to a new file, or apply the changes made in that file.
+    """Write the tree to a new file, or apply the edits made in that file.
 
-    The first line of the file names the version that it was taken from, so
-    that only the operator's own changes are applied.
+    The first line of the file records the version that was written, so that
+    only the operator's own edits are applied.
     """
     if path.exists():
         first, _, text = path.read_text().partition('\n')
-        base = int(first.removeprefix(BASE_LINE))
+        base = int(first.removeprefix(BASE_PREFIX))
         parse_tree(text)
-        _propose(operator, base, text, author, message, json=json)
+        _submit_edit(operator, base, text, author, message, json=json)
         return
     answer = operator.call('GET', 'tree')
     text = yaml.safe_dump(answer['tree'])
-    path.write_text(f'{BASE_LINE}{answer["version"]}\n{text}')
+    path.write_text(f'{BASE_PREFIX}{answer["version"]}\n{text}')
     sys.stdout.write(f'Change {path} and run the same command again.\n')
 
 
 @tree_app.command
 def check(path: Path) -> None:
-    """Check a file and print it as it would be stored."""
+    """Validate the tree in a file and print it as it would be stored."""
     sys.stdout.write(dump_tree(parse_tree(path.read_text())))
 
 
@@ -126,9 +130,9 @@
     operator: OperatorArgs = DEFAULT,
     json: bool = False,
 ) -> None:
-    """Print what changed from one version to another."""
+    """Print the differences between two versions."""
     changes = operator.call('GET', f'diff?old={old}&new={new}')
-    show(changes, json=json)
+    print_document(changes, json=json)
 
 
 @tree_app.command
@@ -138,7 +142,7 @@
     json: bool = False,
 ) -> None:
     """Print the latest edits."""
-    show(operator.call('GET', 'history'), json=json)
+    print_document(operator.call('GET', 'history'), json=json)
 
 
 @tree_app.command
@@ -149,15 +153,15 @@
     author: str = '',
     json: bool = False,
 ) -> None:
-    """Put an earlier tree in force as a new, higher version."""
+    """Apply the tree of an earlier version as a new, higher version."""
     current = operator.call('GET', 'tree')['version']
     tree = operator.call('GET', f'tree/{version}')['tree']
     message = f'rollback to {version}'
-    _propose(operator, current, tree, author, message, json=json)
+    _submit_edit(operator, current, tree, author, message, json=json)
 
 
 def key_command(*, default_class: str = '', json: bool = False) -> None:
-    """Make an API key and print it with the entry for the tree."""
+    """Generate an API key and print it with its entry for the tree."""
     key, entry = make_key(default_class)
     document = {
         'key': key,
@@ -167,10 +171,10 @@
             'default_class': entry.default_class,
         },
     }
-    show(document, json=json)
+    print_document(document, json=json)
 
 
-def _propose(
+def _submit_edit(
     operator: Operator,
     base: int,
     tree: Any,
@@ -185,4 +189,4 @@
         'author': author or os.environ.get('USER', ''),
         'message': message,
     })
-    show(operator.call('PUT', 'tree', body), json=json)
+    print_document(operator.call('PUT', 'tree', body), json=json)
--- a/src/siskinpass/connection/backend.py
+++ b/src/siskinpass/connection/backend.py
@@ -1,4 +1,4 @@
-"""Own one connection to a backend server."""
+"""Connections to backend servers and the pool that reuses them."""
 
 import asyncio
 import socket
@@ -10,85 +10,92 @@
 import httptools
 
 from siskinpass.codes import Code
-from siskinpass.connection.sockets import SocketTimes, tune_socket
+from siskinpass.connection.sockets import SocketTimeouts, tune_socket
 from siskinpass.exceptions import BackendError, ConnectError
 from siskinpass.request.inbound import Header
 
 CONNECT_TIMEOUT_S = 1.0
-IDLE_KEPT_S = 8.0
-IDLE_KEPT_MOST = 64
+IDLE_TIMEOUT_S = 8.0
+MAX_IDLE_PER_SERVER = 64
 STATUS_OK = 200
 STATUSES_WITHOUT_BODY = frozenset((204, 304))
-SILENT_MS = 3000
-# A backend server that acknowledges nothing for as long as callers wait for
-# the next event of a stream is as good as gone.
-BACKEND_TIMES = SocketTimes(idle_s=2, every_s=1, probes=2, user_ms=SILENT_MS)
+# Equal to the time that callers wait for the next event of a stream: a backend
+# server that acknowledges nothing for that long is treated as unreachable.
+UNACKED_TIMEOUT_MS = 3000
+BACKEND_SOCKET_TIMEOUTS = SocketTimeouts(
+    idle_s=2, interval_s=1, probes=2, user_timeout_ms=UNACKED_TIMEOUT_MS
+)
 
 
 class AnswerSink(Protocol):
-    """Take in the answer of a backend server."""
+    """Receiver of one response of a backend server."""
 
-    def take_head(self, status: int, headers: tuple[Header, ...]) -> bool:
-        """Take in status and headers as they were spelled.
+    def receive_head(self, status: int, headers: tuple[Header, ...]) -> bool:
+        """Receive the status and the headers, with names as they were sent.
 
-        :returns: whether the answer is for this sink; another one is skipped.
+        :returns: whether the response belongs to this sink's request; if
+            not, the connection skips it.
         """
 
-    def take_piece(self, piece: bytes) -> None:
-        """Take in a piece of the body."""
+    def receive_body(self, piece: bytes) -> None:
+        """Receive a piece of the body."""
 
-    def take_end(self) -> None:
-        """Take in that the answer is whole."""
+    def receive_end(self) -> None:
+        """Receive the end of a complete response."""
 
-    def take_failure(self, error: BackendError) -> None:
-        """Take in that the answer broke off."""
+    def receive_failure(self, error: BackendError) -> None:
+        """Receive the error that cut the response off."""
 
 
 class BackendConnection(asyncio.Protocol):
-    """Send one request at a time and pass its answer to a sink."""
+    """HTTP/1.1 client connection that runs one request at a time.
+
+    The response is passed to the sink given with the request.
+    """
 
     def __init__(
         self,
-        keep: Callable[['BackendConnection'], None],
-        forget: Callable[['BackendConnection'], None],
+        on_idle: Callable[['BackendConnection'], None],
+        on_closed: Callable[['BackendConnection'], None],
     ) -> None:
-        """Wait for the connection.
+        """Create an unconnected protocol.
 
-        :param keep: takes the connection back after a whole answer.
-        :param forget: told that the connection is closed.
+        :param on_idle: called when the connection can be reused after a
+            complete response.
+        :param on_closed: called when the connection is closed.
         """
-        self._keep = keep
-        self._forget = forget
+        self._on_idle = on_idle
+        self._on_closed = on_closed
         self._sink: AnswerSink | None = None
         self._headers: list[Header] = []
         self._parser = httptools.HttpResponseParser(self)
         self._is_skipping = False
-        self._is_spoiled = False
+        self._has_unsolicited_answer = False
         self._ends_at_close = False
         self._is_reusable = False
         self.idle_until_s = 0.0
-        self.idle_s = IDLE_KEPT_S
+        self.idle_s = IDLE_TIMEOUT_S
 
     @property
     def is_open(self) -> bool:
-        """Return whether the connection can take a request."""
+        """Return whether the connection is neither closed nor closing."""
         return not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and set the socket options."""
         self._transport = transport
-        tune_socket(transport, BACKEND_TIMES)
+        tune_socket(transport, BACKEND_SOCKET_TIMEOUTS)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the sink that the answer broke off."""
-        self._forget(self)
+        """Report an incomplete response to the sink as cut off."""
+        self._on_closed(self)
         self._fail(BackendError(Code.stream_cut, str(exc or '')))
 
     def eof_received(self) -> bool:
-        """End an answer that only the connection's end delimits.
+        """Complete a response whose body is delimited by the connection close.
 
-        libuv reports a reset that arrives together with data as an end; the
-        socket still holds the error.
+        libuv reports a reset that arrives together with data as a regular end
+        of file; the socket still holds the error, so it is checked here.
         """
         sock = self._transport.get_extra_info('socket')
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -97,7 +104,7 @@
         return False
 
     def data_received(self, piece: bytes) -> None:
-        """Parse what came; bytes beyond an answer belong to no request."""
+        """Parse received data; close the connection on unsolicited data."""
         if self._sink is None:
             self._transport.abort()
             return
@@ -110,21 +117,21 @@
             self._fail(BackendError(Code.backend_error, str(error)))
             self._transport.abort()
             return
-        self._settle()
+        self._release()
 
     def send(self, request: bytes, sink: AnswerSink) -> None:
-        """Send a request whose answer goes to a sink."""
+        """Send a request and pass its response to the sink."""
         self._sink = sink
         self._is_reusable = False
         self._transport.write(request)
 
     def cancel(self) -> None:
-        """Break off; the backend server stops its work."""
+        """Close the connection at once, so that the backend server stops."""
         self._sink = None
         self._transport.abort()
 
     def set_reading(self, *, on: bool) -> None:
-        """Slow down or go on, by the pace of the caller."""
+        """Resume or pause reading, to match the speed of the caller."""
         if not self.is_open:
             return
         if on:
@@ -133,31 +140,31 @@
             self._transport.pause_reading()
 
     def on_message_begin(self) -> None:
-        """Note an answer that no request waits for."""
+        """Start a response; record one that no request is waiting for."""
         self._headers = []
         if self._sink is None:
-            self._is_spoiled = True
+            self._has_unsolicited_answer = True
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Note one header."""
+        """Store one header."""
         self._headers.append((name, text))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on."""
+        """Pass the head to the sink; informational (1xx) ones are ignored."""
         status = self._parser.get_status_code()
         if self._sink is None or status < STATUS_OK:
             return
         headers = tuple(self._headers)
         self._ends_at_close = _ends_at_close(status, headers)
-        self._is_skipping = not self._sink.take_head(status, headers)
+        self._is_skipping = not self._sink.receive_head(status, headers)
 
     def on_body(self, piece: bytes) -> None:
-        """Pass a piece on."""
+        """Pass a piece of the body to the sink unless it is being skipped."""
         if self._sink is not None and not self._is_skipping:
-            self._sink.take_piece(piece)
+            self._sink.receive_body(piece)
 
     def on_message_complete(self) -> None:
-        """Pass the end on."""
+        """Complete the response unless it is informational or skipped."""
         if self._parser.get_status_code() < STATUS_OK:
             return
         self._is_reusable = self._parser.should_keep_alive()
@@ -168,21 +175,21 @@
     def _end(self) -> None:
         sink, self._sink = self._sink, None
         if sink is not None:
-            sink.take_end()
+            sink.receive_end()
 
-    def _settle(self) -> None:
-        """Give the connection back once an answer is whole."""
+    def _release(self) -> None:
+        """Release the connection for reuse, or close it, after a response."""
         if self._sink is not None:
             return
-        if self._is_spoiled or not self._is_reusable:
+        if self._has_unsolicited_answer or not self._is_reusable:
             self._transport.abort()
         elif self.is_open:
-            self._keep(self)
+            self._on_idle(self)
 
     def _fail(self, error: BackendError) -> None:
         sink, self._sink = self._sink, None
         if sink is not None:
-            sink.take_failure(error)
+            sink.receive_failure(error)
 
 
 def _ends_at_close(status: int, headers: tuple[Header, ...]) -> bool:
@@ -194,45 +201,52 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolPolicy:
-    """Bound the connections of a pool.
+    """Limits of a connection pool.
 
-    :param connect_s: longest time to open one.
-    :param idle_s: time that an idle one is kept unless its server says less.
-    :param idle_most: idle ones kept for each server.
+    :param connect_s: connect timeout.
+    :param idle_s: how long an idle connection is kept, unless its server
+        announces a shorter time.
+    :param max_idle: number of idle connections kept for each server.
     """
 
     connect_s: float = CONNECT_TIMEOUT_S
-    idle_s: float = IDLE_KEPT_S
-    idle_most: int = IDLE_KEPT_MOST
+    idle_s: float = IDLE_TIMEOUT_S
+    max_idle: int = MAX_IDLE_PER_SERVER
 
 
 class BackendPool:
-    """Keep idle connections to backend servers."""
+    """Pool of idle connections to backend servers, by address."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         policy: PoolPolicy | None = None,
     ) -> None:
-        """Start without connections."""
+        """Create an empty pool.
+
+        :param policy: limits of the pool; ``None`` for the defaults.
+        """
         self._loop = loop
         self._policy = policy or PoolPolicy()
         self._idle: dict[str, list[BackendConnection]] = {}
 
     async def connect(self, address: str, *, fresh: bool) -> BackendConnection:
-        """Return a connection, an idle one unless a fresh one is asked for.
+        """Return an idle connection, or open one if there is none.
 
-        :raises ConnectError: where none can be opened; nothing was sent.
+        :param address: ``host:port`` of the backend server.
+        :param fresh: whether to open a new connection in any case.
+        :raises ConnectError: if no connection can be opened; nothing was
+            sent.
         """
-        kept = None if fresh else self._pop_idle(address)
-        if kept is not None:
-            return kept
+        idle = None if fresh else self._pop_idle(address)
+        if idle is not None:
+            return idle
         host, port = address.rsplit(':', 1)
         opening = self._loop.create_connection(
             partial(
                 BackendConnection,
-                partial(self._keep, address),
-                partial(self._note_closed, address),
+                partial(self._add_idle, address),
+                partial(self._remove_closed, address),
             ),
             host,
             int(port),
@@ -249,15 +263,15 @@
             ) from error
         return connection
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.cancel()
 
     def _pop_idle(self, address: str) -> BackendConnection | None:
-        kept = self._idle.get(address, [])
-        while kept:
-            connection = kept.pop()
+        idle = self._idle.get(address, [])
+        while idle:
+            connection = idle.pop()
             if (
                 connection.is_open
                 and connection.idle_until_s > self._loop.time()
@@ -266,16 +280,18 @@
             connection.cancel()
         return None
 
-    def _keep(self, address: str, connection: BackendConnection) -> None:
-        kept = self._idle.setdefault(address, [])
-        if len(kept) >= self._policy.idle_most:
+    def _add_idle(self, address: str, connection: BackendConnection) -> None:
+        idle = self._idle.setdefault(address, [])
+        if len(idle) >= self._policy.max_idle:
             connection.cancel()
             return
         idle_s = min(self._policy.idle_s, connection.idle_s)
         connection.idle_until_s = self._loop.time() + idle_s
-        kept.append(connection)
+        idle.append(connection)
 
-    def _note_closed(self, address: str, connection: BackendConnection) -> None:
-        kept = self._idle.get(address, [])
-        if connection in kept:
-            kept.remove(connection)
+    def _remove_closed(
+        self, address: str, connection: BackendConnection
+    ) -> None:
+        idle = self._idle.get(address, [])
+        if connection in idle:
+            idle.remove(connection)
--- a/src/siskinpass/connection/dialect.py
+++ b/src/siskinpass/connection/backend_requests.py
@@ -1,6 +1,7 @@
-"""Write requests in the dialects of the backend servers.
+"""Encode requests to model engines and plain services.
 
-The only module that knows how engines and plain services are spoken to.
+This is the only module that knows the HTTP interfaces of the two kinds of
+backend server.
 """
 
 from dataclasses import dataclass
@@ -13,54 +14,63 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineTerms:
-    """Hold what an engine is told beside the caller's own fields.
+class EngineOptions:
+    """Fields that the router adds to a request to an engine.
 
-    :param priority: order in the engine's queue, 0 goes first.
-    :param resume_from: tokens that the caller already has.
+    :param priority: priority in the engine's queue, 0 is served first.
+    :param resume_from: number of tokens that the caller has already received.
     """
 
     priority: int
     resume_from: int
 
 
-def engine_request(
+def encode_engine_request(
     call: Call,
     request_id: str,
     host: str,
-    terms: EngineTerms,
+    options: EngineOptions,
 ) -> bytes:
-    """Return a call to a model engine, always streamed."""
+    """Return a request to a model engine, which always streams its response.
+
+    If the caller did not set ``max_tokens``, the maximum of its request class
+    is sent.
+    """
     fields = {
         **call.fields,
         'stream': True,
         'request_id': request_id,
-        'priority': terms.priority,
-        'resume_from': terms.resume_from,
+        'priority': options.priority,
+        'resume_from': options.resume_from,
     }
-    fields.setdefault('max_tokens', call.class_settings.max_tokens)
+    fields.setdefault('max_tokens', call.promise.max_tokens)
     return _post(call.path, host, orjson.dumps(fields), request_id)
 
 
-def service_request(call: Call, request_id: str, host: str) -> bytes:
-    """Return a call to a plain service."""
+def encode_service_request(call: Call, request_id: str, host: str) -> bytes:
+    """Return a request to a plain service with the caller's body."""
     return _post(quote(call.service_path), host, call.body, request_id)
 
 
 def event_marker(request_id: str) -> bytes:
-    """Return what each event of an engine's answer must hold."""
+    """Return the bytes that every event for this request contains."""
     return b'"id":"%b"' % request_id.encode()
 
 
-def assemble(events: bytes, *, chat: bool) -> bytes:
-    """Return the whole answer that the events of a stream amount to."""
+def assemble_answer(events: bytes, *, chat: bool) -> bytes:
+    """Return the non-streamed response body equal to a stream of events.
+
+    :param events: complete server-sent events; a closing ``[DONE]`` event is
+        ignored.
+    :param chat: whether the events are of the chat completions interface.
+    """
     documents = [
         orjson.loads(event.removeprefix(b'data: '))
         for event in events.split(b'\n\n')
         if event and not event.endswith(b'[DONE]')
     ]
     last = documents[-1]
-    texts = [_event_text(document, chat=chat) for document in documents]
+    texts = [_delta_text(document, chat=chat) for document in documents]
     choice = {
         'index': 0,
         'finish_reason': last['choices'][0].get('finish_reason'),
@@ -84,7 +94,7 @@
     })
 
 
-def _event_text(document: dict, *, chat: bool) -> str:
+def _delta_text(document: dict, *, chat: bool) -> str:
     choice = document['choices'][0]
     if chat:
         return choice['delta'].get('content') or ''
--- a/src/siskinpass/connection/whole_answer.py
+++ b/src/siskinpass/connection/fetch.py
@@ -1,4 +1,4 @@
-"""Fetch one whole answer over a pool of connections."""
+"""Fetch complete responses over a connection pool."""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,40 +10,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """Hold one answer."""
+class FetchedAnswer:
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 class _Collector(AnswerSink):
-    """Collect one answer."""
+    """Sink that collects one response and completes a future with it."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._status = 0
         self._pieces = bytearray()
         loop = asyncio.get_running_loop()
-        self.finished: asyncio.Future[WholeAnswer] = loop.create_future()
+        self.finished: asyncio.Future[FetchedAnswer] = loop.create_future()
 
-    def take_head(self, status: int, headers: tuple[Header, ...]) -> bool:
-        """Take in the status."""
+    def receive_head(self, status: int, headers: tuple[Header, ...]) -> bool:
+        """Store the status; accept every response."""
         self._status = status
         return True
 
-    def take_piece(self, piece: bytes) -> None:
-        """Take in a piece of the body."""
+    def receive_body(self, piece: bytes) -> None:
+        """Append a piece of the body."""
         self._pieces += piece
 
-    def take_end(self) -> None:
-        """Hand the answer out."""
+    def receive_end(self) -> None:
+        """Complete the future with the response."""
         if not self.finished.done():
-            answer = WholeAnswer(self._status, bytes(self._pieces))
+            answer = FetchedAnswer(self._status, bytes(self._pieces))
             self.finished.set_result(answer)
 
-    def take_failure(self, error: BackendError) -> None:
-        """Hand the failure out."""
+    def receive_failure(self, error: BackendError) -> None:
+        """Complete the future with the error."""
         if not self.finished.done():
             self.finished.set_exception(error)
 
@@ -53,15 +53,17 @@
     address: str,
     request: bytes,
     timeout_s: float,
-) -> WholeAnswer:
-    """Send a request and return its answer.
+) -> FetchedAnswer:
+    """Send a request and return its complete response.
 
-    A connection without a whole answer is closed, as nothing further is due
-    on it.
+    If no complete response arrives, the connection is closed instead of
+    reused, because nothing else is expected on it.
 
-    :param timeout_s: longest time from the sending to the end of the answer.
-    :raises ConnectError: where no connection can be opened; nothing was sent.
-    :raises BackendError: where the answer broke off or does not come in time.
+    :param timeout_s: longest time from sending the request to the end of the
+        response.
+    :raises ConnectError: if no connection can be opened; nothing was sent.
+    :raises BackendError: if the response was cut off or did not arrive in
+        time.
     """
     connection = await pool.connect(address, fresh=False)
     collector = _Collector()
--- a/src/siskinpass/connection/parsing.py
+++ b/src/siskinpass/connection/parsing.py
@@ -1,8 +1,9 @@
-"""Let CherryPy's server parse requests that have wholly arrived.
+"""Parse completely received requests with CherryPy's server (cheroot).
 
-The server's threads never touch a caller's socket: they get the bytes of one
-head (for a page with a body, of the whole request) and answer with a message.
-A slow or silent caller therefore holds no thread.
+The server's threads never touch a caller's socket. They receive the bytes of
+one head (of the whole request, for a page handler that needs the body) and
+return the result as a message. A slow or stalled caller therefore occupies no
+thread.
 """
 
 import io
@@ -17,12 +18,12 @@
 from siskinpass.request.answer import error_answer
 from siskinpass.request.head import BodyNeeded, PageAnswer, RequestHead
 
-Parsed = RequestHead | PageAnswer | BodyNeeded
-Reply = Callable[[Parsed], None]
+ParseResult = RequestHead | PageAnswer | BodyNeeded
+Reply = Callable[[ParseResult], None]
 
-HEADER_BYTES_MOST = 16_384
-LATIN = 'latin-1'
-LENGTH = b'Content-Length'
+MAX_HEADER_BYTES = 16_384
+HEADER_ENCODING = 'latin-1'
+CONTENT_LENGTH = b'Content-Length'
 SINGLE_HEADERS = (
     b'authorization',
     b'content-length',
@@ -40,27 +41,28 @@
 
 
 class ParsingServer(WsgiServer):
-    """Run CherryPy's request threads without a listening socket.
+    """CherryPy's thread pool without a listening socket.
 
-    :param relayed: path prefixes whose requests are passed on unanswered.
+    :param relay_prefixes: path prefixes whose requests are not answered by
+        the application but returned as a parsed head, to be relayed.
     """
 
     def __init__(
         self,
         application: Callable,
         threads: int,
-        relayed: tuple[str, ...] = (),
+        relay_prefixes: tuple[str, ...] = (),
     ) -> None:
-        """Prepare the threads; ``start_threads`` starts them."""
+        """Create the thread pool; ``start_threads`` starts it."""
         super().__init__(('127.0.0.1', 0), application, threads)
-        self.max_request_header_size = HEADER_BYTES_MOST
+        self.max_request_header_size = MAX_HEADER_BYTES
         self.gateway = _choose_gateway
-        self.relayed = relayed
+        self.relay_prefixes = relay_prefixes
         self.version = 'siskinpass'
 
     @property
     def can_add_keepalive_connection(self) -> bool:
-        """Return that idle connections are kept, by their owner's bound."""
+        """Return true: idle connections are limited by their owner."""
         return True
 
     def start_threads(self) -> None:
@@ -73,20 +75,21 @@
         self.ready = False
         self.requests.stop(self.shutdown_timeout)
 
-    def parse(self, arrived: bytes, remote: str, reply: Reply) -> None:
-        """Queue one request.
+    def parse(self, received: bytes, remote: str, reply: Reply) -> None:
+        """Queue one request to be parsed.
 
-        :param arrived: the head, and the body as far as it is there.
-        :param reply: called from a request thread with what came of it.
+        :param received: the head and as much of the body as was received.
+        :param remote: IP address of the caller.
+        :param reply: called from a request thread with the result.
         """
-        self.requests.put(_ArrivedRequest(self, arrived, remote, reply))
+        self.requests.put(_QueuedRequest(self, received, remote, reply))
 
     def error_log(self, *args: object, **kwargs: object) -> None:
-        """Keep quiet: what goes wrong is answered and counted."""
+        """Discard the message: errors are answered and counted instead."""
 
 
-class _ArrivedRequest:
-    """Stand in a thread's queue for one request."""
+class _QueuedRequest:
+    """Request in the queue of the thread pool, in the role of a connection."""
 
     ssl_env: dict[str, str] = {}
     peercreds_enabled = False
@@ -96,25 +99,25 @@
     def __init__(
         self,
         server: ParsingServer,
-        arrived: bytes,
+        received: bytes,
         remote: str,
         reply: Reply,
     ) -> None:
         self.server = server
-        self.arrived = arrived
+        self.received = received
         self.remote_addr = remote
-        self.rfile = _Reader(arrived)
+        self.rfile = _Reader(received)
         self.wfile = _Writer()
-        self.outcome: Parsed | None = None
+        self.outcome: ParseResult | None = None
         self._reply = reply
 
     def communicate(self) -> bool:
-        """Parse the request and send one message about it."""
-        request = _NumberedRequest(self.server, self)
+        """Parse the request and reply with exactly one result."""
+        request = _CodedErrorRequest(self.server, self)
         try:
             self._respond(request)
         except Exception as error:
-            # The caller waits for this message, whatever went wrong.
+            # The caller waits for a reply, so any failure must produce one.
             self.outcome = PageAnswer(
                 error_answer(Code.malformed_head, repr(error)),
                 0,
@@ -124,20 +127,20 @@
         return False
 
     def close(self) -> None:
-        """Do nothing: the socket is owned elsewhere."""
+        """Do nothing: the connection is owned by the event loop."""
 
-    def _respond(self, request: '_NumberedRequest') -> None:
+    def _respond(self, request: '_CodedErrorRequest') -> None:
         request.parse_request()
         if not request.ready:
             return
-        fault = _find_fault(request, self.arrived)
+        fault = _find_head_error(request, self.received)
         if fault:
             request.simple_response('400', fault)
             request.close_connection = True
         else:
             request.respond()
 
-    def _page(self, request: '_NumberedRequest') -> PageAnswer:
+    def _page(self, request: '_CodedErrorRequest') -> PageAnswer:
         return PageAnswer(
             self.wfile.getvalue(),
             request.length,
@@ -146,32 +149,35 @@
 
 
 class _Reader(io.BytesIO):
-    """Read what has arrived; counts as CherryPy's server expects."""
+    """Reader of the received bytes, with the counter cheroot expects."""
 
     bytes_read = 0
 
     def has_data(self) -> bool:
-        """Tell that there is nothing beyond this request."""
+        """Return false: there is no data beyond this request."""
         return False
 
 
 class _Writer(io.BytesIO):
-    """Collect the answer of a page."""
+    """Buffer for the response of a page, with the counter cheroot expects."""
 
     bytes_written = 0
 
 
-class _NumberedRequest(HTTPRequest):
-    """Answer what is malformed with a numbered error."""
+class _CodedErrorRequest(HTTPRequest):
+    """Request that is rejected with an error code if it is malformed."""
 
     @property
     def length(self) -> int:
-        """Return the announced length of the body in bytes."""
-        text = self.inheaders.get(LENGTH, b'0')
+        """Return the length of the body in bytes from ``Content-Length``.
+
+        It is 0 if the header is missing or not a number.
+        """
+        text = self.inheaders.get(CONTENT_LENGTH, b'0')
         return int(text) if text.isdigit() else 0
 
     def simple_response(self, status: str | int, msg: str | Code = '') -> None:
-        """Write a numbered error in place of a plain text."""
+        """Reject the request with an error code instead of plain text."""
         self.close_connection = True
         code = (
             msg
@@ -190,17 +196,19 @@
 
 
 class _RelayGateway(Gateway):
-    """Pass a request on without answering it."""
+    """Gateway that returns the parsed head instead of a response."""
 
     def respond(self) -> None:
-        """Turn the parsed request into a message."""
+        """Set the result of the parsed request."""
         request = self.req
         request.ready = False
         request.conn.outcome = RequestHead(
-            request.method.decode(LATIN),
-            request.path.decode(LATIN),
+            request.method.decode(HEADER_ENCODING),
+            request.path.decode(HEADER_ENCODING),
             {
-                name.decode(LATIN).lower(): text.decode(LATIN)
+                name.decode(HEADER_ENCODING).lower(): text.decode(
+                    HEADER_ENCODING
+                )
                 for name, text in request.inheaders.items()
             },
             request.length,
@@ -209,31 +217,33 @@
 
 
 class _BodyGateway(Gateway):
-    """Ask for the body of a request to a page."""
+    """Gateway that requests the missing body for a page handler."""
 
     def respond(self) -> None:
-        """Turn the parsed request into a message."""
+        """Set the result of the parsed request."""
         self.req.ready = False
         self.req.conn.outcome = BodyNeeded(self.req.length)
 
 
-def _choose_gateway(request: _NumberedRequest) -> Gateway:
-    path = request.path.decode(LATIN)
-    if path.startswith(request.server.relayed):
+def _choose_gateway(request: _CodedErrorRequest) -> Gateway:
+    path = request.path.decode(HEADER_ENCODING)
+    if path.startswith(request.server.relay_prefixes):
         return _RelayGateway(request)
-    arrived = len(request.conn.arrived) - request.conn.rfile.tell()
-    if request.length > arrived:
+    received = len(request.conn.received) - request.conn.rfile.tell()
+    if request.length > received:
         return _BodyGateway(request)
     return WsgiGateway(request)
 
 
-def _find_fault(request: _NumberedRequest, arrived: bytes) -> Code | None:
-    head = arrived[: arrived.find(b'\r\n\r\n')].lower()
+def _find_head_error(
+    request: _CodedErrorRequest, received: bytes
+) -> Code | None:
+    head = received[: received.find(b'\r\n\r\n')].lower()
     for name in SINGLE_HEADERS:
         if head.count(b'\r\n' + name + b':') > 1:
             return Code.duplicate_header
     if request.chunked_read:
         return Code.length_required
-    if not request.inheaders.get(LENGTH, b'0').isdigit():
+    if not request.inheaders.get(CONTENT_LENGTH, b'0').isdigit():
         return Code.malformed_head
     return None
--- a/src/siskinpass/connection/sockets.py
+++ b/src/siskinpass/connection/sockets.py
@@ -1,4 +1,4 @@
-"""Set the options that every TCP socket of the process gets."""
+"""Set the options of the process's TCP sockets."""
 
 import asyncio
 import socket
@@ -6,36 +6,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SocketTimes:
-    """Set when the kernel gives a silent peer up.
+class SocketTimeouts:
+    """Time limits after which the kernel closes an unresponsive connection.
 
     :param idle_s: idle time before the first keep-alive probe.
-    :param every_s: time between probes.
-    :param probes: unanswered probes that end the connection.
-    :param user_ms: longest time that sent bytes stay unacknowledged.
+    :param interval_s: time between probes.
+    :param probes: number of unanswered probes that close the connection.
+    :param user_timeout_ms: longest time that sent data may stay
+        unacknowledged.
     """
 
     idle_s: int = 10
-    every_s: int = 5
+    interval_s: int = 5
     probes: int = 3
-    user_ms: int = 20_000
+    user_timeout_ms: int = 20_000
 
 
-DEFAULT_TIMES = SocketTimes()
+DEFAULT_TIMEOUTS = SocketTimeouts()
 
 
 def tune_socket(
     transport: asyncio.BaseTransport,
-    times: SocketTimes = DEFAULT_TIMES,
+    timeouts: SocketTimeouts = DEFAULT_TIMEOUTS,
 ) -> None:
-    """Let the kernel notice a peer that went silent for good."""
+    """Set keep-alive, the user timeout and ``TCP_NODELAY`` on a TCP socket.
+
+    The kernel then closes the connection if the peer stops responding.
+    Sockets that are not TCP are left unchanged.
+    """
     sock = transport.get_extra_info('socket')
     if sock is None or sock.family not in {socket.AF_INET, socket.AF_INET6}:
         return
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, times.idle_s)
-    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, times.every_s)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, times.probes)
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, times.user_ms)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, timeouts.idle_s)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, timeouts.interval_s)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, timeouts.probes)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, timeouts.user_timeout_ms)
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
--- a/src/siskinpass/platform/directory.py
+++ b/src/siskinpass/platform/directory.py
@@ -1,4 +1,8 @@
-"""Translate what callers and instances ask of the directory."""
+"""Translate directory look-ups of callers and membership records.
+
+Callers look up which instances to connect to; instances store their own
+membership record in the platform's object store.
+"""
 
 from collections.abc import Iterable
 from dataclasses import asdict, dataclass
@@ -13,41 +17,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
-    """Ask which instances a caller should use.
+class ResolutionQuery:
+    """A caller's look-up of the instances that it should connect to.
 
-    :param host: host that the caller wants to reach.
-    :param zone: availability zone of the caller, empty where unknown.
+    :param host: host name that the caller wants to reach.
+    :param zone: availability zone of the caller, empty if unknown.
     """
 
     host: str
     zone: str
 
 
-def decode_question(target: str) -> Question | None:
-    """Return a caller's question, or none where the path is another."""
+def decode_resolution_query(target: str) -> ResolutionQuery | None:
+    """Return a caller's look-up, or ``None`` for any other path.
+
+    :param target: path and query of the request.
+    """
     parts = urlsplit(target)
     if parts.path != PATH:
         return None
     query = parse_qs(parts.query)
-    return Question(
+    return ResolutionQuery(
         query.get('name', [''])[0],
         query.get('zone', [''])[0],
     )
 
 
-def encode_answer(addresses: Iterable[str], keep_s: float) -> bytes:
-    """Return the answer to a question."""
+def encode_resolution(addresses: Iterable[str], keep_s: float) -> bytes:
+    """Return the response body of a look-up.
+
+    :param addresses: instances to use, as ``ip:port``.
+    :param keep_s: how long the caller may cache the answer, in seconds.
+    """
     return orjson.dumps({'addresses': list(addresses), 'ttl-s': keep_s})
 
 
 def encode_member(member: Member) -> dict[str, Any]:
-    """Return an instance as it stands in the store."""
+    """Return the membership record of an instance for the object store."""
     return asdict(member)
 
 
 def decode_member(body: Any) -> Member | None:
-    """Return an instance from the store, none where it cannot be read."""
+    """Return the instance that a stored membership record describes.
+
+    Returns ``None`` if the record has missing or unknown fields.
+    """
     try:
         return Member(**body)
     except TypeError:
--- a/src/siskinpass/platform/headers.py
+++ b/src/siskinpass/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translate the headers of requests and answers."""
+"""Translate the headers of requests and responses."""
 
 from siskinpass.platform.fields import MS_PER_S
 from siskinpass.request.inbound import (
@@ -20,8 +20,8 @@
 BEARER = 'bearer '
 STATUS_MISDIRECTED = 421
 
-# Headers that concern one connection only.
-HOP_HEADERS = frozenset((
+# Headers that apply to a single connection and must not be forwarded.
+HOP_BY_HOP_HEADERS = frozenset((
     b'connection',
     b'keep-alive',
     b'proxy-connection',
@@ -34,7 +34,8 @@
     b'content-length',
     b'expect',
 ))
-# Headers that only this system may set; a caller's own are dropped.
+# Headers that only this system may set. Those sent by a caller are dropped,
+# so that a caller cannot forge them.
 SYSTEM_HEADERS = frozenset((
     DEADLINE,
     RESUME,
@@ -54,50 +55,54 @@
 def decode_call(request: WireRequest) -> InboundRequest:
     """Return a request with its headers decoded.
 
-    A header that cannot be read counts as missing.
+    A header with an invalid value is treated as missing.
     """
-    found = {name.lower(): text for name, text in request.headers}
-    dropped = HOP_HEADERS | SYSTEM_HEADERS | _named_by_connection(found)
+    by_name = {name.lower(): text for name, text in request.headers}
+    dropped = (
+        HOP_BY_HOP_HEADERS | SYSTEM_HEADERS | _listed_in_connection(by_name)
+    )
     return InboundRequest(
         request=request,
-        host=_text(found, b'host'),
-        call_id=_text(found, CALL_ID),
-        caller_timeout_s=_number(_text(found, DEADLINE)) / MS_PER_S,
-        key=_bearer(_text(found, AUTHORIZATION)),
-        last_event_id=_text(found, RESUME),
-        prompt=_prompt(found),
+        host=_header_text(by_name, b'host'),
+        call_id=_header_text(by_name, CALL_ID),
+        caller_timeout_s=_nonnegative_number(_header_text(by_name, DEADLINE))
+        / MS_PER_S,
+        key=_bearer(_header_text(by_name, AUTHORIZATION)),
+        last_event_id=_header_text(by_name, RESUME),
+        prompt=_prompt(by_name),
         headers=_without(dropped, request.headers),
     )
 
 
 def encode_send(call: InboundRequest, context: SendContext) -> bytes:
-    """Return the request as a backend server gets it."""
+    """Return the bytes of the request to send to a backend server."""
     request = call.request
     lines = [b'%b %b HTTP/1.1' % (request.method, request.target)]
     lines.extend(b'%b: %b' % header for header in call.headers)
-    lines.extend(_context_lines(context))
+    lines.extend(_system_header_lines(context))
     if request.body or request.method not in {b'GET', b'HEAD', b'DELETE'}:
         lines.append(b'Content-Length: %d' % len(request.body))
     return b'\r\n'.join((*lines, b'', request.body))
 
 
 def decode_answer(status: int, headers: tuple[Header, ...]) -> AnswerHead:
-    """Return the head of an answer with its headers decoded."""
-    found = {name.lower(): text for name, text in headers}
-    dropped = HOP_HEADERS | _named_by_connection(found)
+    """Return the head of a response with its headers decoded."""
+    by_name = {name.lower(): text for name, text in headers}
+    dropped = HOP_BY_HOP_HEADERS | _listed_in_connection(by_name)
     return AnswerHead(
         status=status,
-        call_id=_text(found, CALL_ID),
-        receipt=_text(found, RECEIPT),
-        # 421 says the same without the header.
-        not_run=NOT_RUN in found or status == STATUS_MISDIRECTED,
-        is_encoded=b'content-encoding' in found,
-        idle_s=_keep_alive_s(_text(found, b'keep-alive')),
+        call_id=_header_text(by_name, CALL_ID),
+        receipt=_header_text(by_name, RECEIPT),
+        # Status 421 states that the request was not run, even without the
+        # header.
+        not_run=NOT_RUN in by_name or status == STATUS_MISDIRECTED,
+        is_encoded=b'content-encoding' in by_name,
+        idle_s=_keep_alive_s(_header_text(by_name, b'keep-alive')),
         headers=_without(dropped, headers),
     )
 
 
-def _context_lines(context: SendContext) -> list[bytes]:
+def _system_header_lines(context: SendContext) -> list[bytes]:
     left_ms = max(1, int(context.remaining_s * MS_PER_S))
     fields = (
         ('X-Deadline-Ms', str(left_ms)),
@@ -111,8 +116,8 @@
     ]
 
 
-def _named_by_connection(found: dict[bytes, bytes]) -> frozenset[bytes]:
-    named = found.get(b'connection', b'').lower().split(b',')
+def _listed_in_connection(by_name: dict[bytes, bytes]) -> frozenset[bytes]:
+    named = by_name.get(b'connection', b'').lower().split(b',')
     return frozenset(name.strip() for name in named)
 
 
@@ -125,21 +130,25 @@
     )
 
 
-def _prompt(found: dict[bytes, bytes]) -> Prompt:
-    # "prompt tokens, most output tokens"
-    counts = _text(found, b'x-token-count').split(',')
-    entries = _text(found, b'x-prompt-prefix').split(',')
+def _prompt(by_name: dict[bytes, bytes]) -> Prompt:
+    # Format: "<prompt tokens>,<maximum output tokens>".
+    counts = _header_text(by_name, b'x-token-count').split(',')
+    entries = _header_text(by_name, b'x-prompt-prefix').split(',')
     return Prompt(
         parts=tuple(_part(entry) for entry in entries if entry),
-        tokens_in=int(_number(counts[0])),
-        max_tokens_out=int(_number(counts[-1])) if len(counts) > 1 else 0,
-        tokens_out_hint=int(_number(_text(found, b'x-length-hint'))),
+        tokens_in=int(_nonnegative_number(counts[0])),
+        max_tokens_out=int(_nonnegative_number(counts[-1]))
+        if len(counts) > 1
+        else 0,
+        tokens_out_hint=int(
+            _nonnegative_number(_header_text(by_name, b'x-length-hint'))
+        ),
     )
 
 
 def _part(entry: str) -> PromptPart:
     key, _, tokens = entry.strip().partition(':')
-    return PromptPart(key, int(_number(tokens)))
+    return PromptPart(key, int(_nonnegative_number(tokens)))
 
 
 def _bearer(text: str) -> str:
@@ -152,15 +161,15 @@
     for parameter in text.split(','):
         name, _, seconds = parameter.strip().partition('=')
         if name.lower() == 'timeout':
-            return _number(seconds)
+            return _nonnegative_number(seconds)
     return 0.0
 
 
-def _text(found: dict[bytes, bytes], name: bytes) -> str:
-    return found.get(name, b'').decode('latin-1').strip()
+def _header_text(by_name: dict[bytes, bytes], name: bytes) -> str:
+    return by_name.get(name, b'').decode('latin-1').strip()
 
 
-def _number(text: str) -> float:
+def _nonnegative_number(text: str) -> float:
     try:
         return max(0.0, float(text))
     except ValueError:
--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -119,7 +119,7 @@
         if self._connection is not None:
             self._connection.set_reading(on=on)
 
-    def take_head(self, status: int, headers: tuple[Header, ...]) -> bool:
+    def receive_head(self, status: int, headers: tuple[Header, ...]) -> bool:
         """Check the head and return whether it answers this request."""
         head = decode_answer(status, headers)
         if head.call_id and head.call_id != self._call_id:
@@ -133,7 +133,7 @@
             self._is_streaming = True
         return True
 
-    def take_piece(self, piece: bytes) -> None:
+    def receive_body(self, piece: bytes) -> None:
         """Collect a body, or forward the complete events of a stream."""
         self._last_received_s = self._loop.time()
         self._has_received = True
@@ -151,7 +151,7 @@
             self._writer.begin(self._head)
             self._writer.write(events)
 
-    def take_end(self) -> None:
+    def receive_end(self) -> None:
         """End the attempt with the complete answer."""
         self._connection = None
         if self._rejection:
@@ -161,7 +161,7 @@
         else:
             self._end_body()
 
-    def take_failure(self, error: BackendError) -> None:
+    def receive_failure(self, error: BackendError) -> None:
         """End an attempt whose connection failed."""
         self._connection = None
         if self._head is not None and self._head.not_run:
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -282,12 +282,12 @@
         request, which ``_end_timed_out`` has to know.
         """
         self._in_flight = True
-        self._caller.on_flow = receiver.set_flow
+        self._caller.on_writable = receiver.set_flow
         try:
             yield
         finally:
             receiver.cancel()
-            self._caller.on_flow = None
+            self._caller.on_writable = None
         self._in_flight = False
 
     def _next_step(self, plan: '_Plan', outcome: AttemptResult) -> NextStep:
@@ -377,7 +377,7 @@
 
     def _cut(self, code: Code) -> None:
         self._record_failure(STREAM_CUT, code)
-        self._caller.cut_stream()
+        self._caller.truncate_stream()
 
     def _refuse(self, code: Code, retry_after_ms: int = 0) -> None:
         meaning = MEANINGS[code]
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -11,9 +11,9 @@
 
 from siskinpass.codes import Code
 from siskinpass.connection.backend import BackendPool
-from siskinpass.connection.whole_answer import fetch
+from siskinpass.connection.fetch import fetch
 from siskinpass.exceptions import BackendError, SiskinpassError
-from siskinpass.platform.engines import KEPT_PARTS_CALL, decode_kept_parts
+from siskinpass.platform.engines import KEPT_PARTS_REQUEST, decode_kept_parts
 from siskinpass.process.fleet.tickets import hash_parts
 from siskinpass.process.logs import PartLog
 from siskinpass.request.inbound import STATUS_OK, Prompt
@@ -78,7 +78,7 @@
         answer = await fetch(
             self._backends,
             address,
-            KEPT_PARTS_CALL,
+            KEPT_PARTS_REQUEST,
             self._timeout_s,
         )
         if answer.status != STATUS_OK:
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -9,7 +9,7 @@
 from siskinpass.connection.http_caller import HttpCaller, Serve
 from siskinpass.platform import directory
 from siskinpass.platform.config import CONFIG_KIND
-from siskinpass.platform.workers import WORKERS_KIND
+from siskinpass.platform.servers import SERVERS_KIND
 from siskinpass.process.addresses import addresses_near
 from siskinpass.process.broker import BrokerPolicy
 from siskinpass.process.fleet.assigner import Assigner
@@ -35,7 +35,7 @@
 # Idle connections to backend servers are kept long, because opening new ones is
 # expensive; a server's Keep-Alive header shortens the time.
 MAX_IDLE = 64
-BACKEND_POOL = PoolPolicy(connect_s=1.0, idle_s=60.0, idle_most=MAX_IDLE)
+BACKEND_POOL = PoolPolicy(connect_s=1.0, idle_s=60.0, max_idle=MAX_IDLE)
 # Callers cache a directory answer for up to three times its TTL. With a shorter
 # TTL they leave a stopping instance sooner.
 DIRECTORY_TTL_S = 1
@@ -142,7 +142,7 @@
         wait_s = watch_wait_s(self._settings.operator_bounds.contact_s)
         for kind, callback in (
             (CONFIG_KIND, self._state.apply_config),
-            (WORKERS_KIND, self._state.apply_workers),
+            (SERVERS_KIND, self._state.apply_workers),
         ):
             self._start(KindWatch(self._store, kind, wait_s, callback).run())
         self._start(self._members.register())
@@ -260,12 +260,14 @@
         caller: HttpCaller,
         request: WireRequest,
     ) -> None:
-        query = directory.decode_question(request.target.decode('latin-1'))
+        query = directory.decode_resolution_query(
+            request.target.decode('latin-1')
+        )
         if query is None:
             caller.answer(STATUS_NOT_FOUND)
             return
         addresses = addresses_near(self._members.serving, query.zone)
-        body = directory.encode_answer(addresses, self._directory_ttl_s)
+        body = directory.encode_resolution(addresses, self._directory_ttl_s)
         caller.answer(STATUS_OK, (JSON,), body)
 
     def _count_store_call(self, call: str, outcome: str) -> None:
