--- a/src/siskinpass/connection/backend_requests.py
+++ b/src/siskinpass/connection/backend_requests.py
@@ -43,7 +43,7 @@
         'priority': options.priority,
         'resume_from': options.resume_from,
     }
-    fields.setdefault('max_tokens', call.promise.max_tokens)
+    fields.setdefault('max_tokens', call.class_settings.max_tokens)
     return _post(call.path, host, orjson.dumps(fields), request_id)
 
 
--- a/src/siskinpass/platform/settings_file.py
+++ b/src/siskinpass/platform/settings_file.py
@@ -71,7 +71,7 @@
         metrics_port=int(ports[1]),
         store=read_field(store, 'address', str),
         is_first_start=read_field(table, 'bootstrap', bool, default=False),
-        promises=_promises(read_field(table, 'bounds', dict, {})),
+        operator_bounds=_promises(read_field(table, 'bounds', dict, {})),
     )
 
 
