--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -22,7 +22,7 @@
     encode_event,
     encode_packet,
 )
-from siskinpass.process.counts import CountBook, Outcome
+from siskinpass.process.counts import Outcome, TallyHistory
 from siskinpass.process.hosting import BrokerHost
 from siskinpass.process.limits import LimitPolicy
 from siskinpass.process.membership import (
@@ -352,15 +352,15 @@
     views = tuple(
         ServerView(f's{number}', f'x:{number}', 'lm') for number in range(GROUP)
     )
-    host.list_servers({'lm': views})
+    host.update_servers({'lm': views})
     security = PeerSecurity(PEER_KEY)
     address = free_address()
     service = PeerService(host, _State(), PEER_KEY)
     server = await start_peer_server(service, address, security)
     links = PeerLinks('entry-1', '127.0.0.1', security)
-    links.take_addresses({'broker': address})
+    links.update_addresses({'broker': address})
     broker_client = BrokerClient('lm', lambda unused: None)
-    port = links.dial('broker', broker_client, lambda unused: None)
+    port = links.open_session('broker', broker_client, lambda unused: None)
     broker_client.attach(port, 'broker')
     counter = _Counter(broker_client, 500)
     start_s = time.process_time()
@@ -406,7 +406,7 @@
 
 def _counts() -> dict[str, Any]:
     """Return what the counts of one class and second cost."""
-    book = CountBook()
+    book = TallyHistory()
     for number in range(200):
         outcome = Outcome(f'workspace-{number}/counter', met=True, first_ms=90)
         book.note(outcome, 1.0)
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from siskinpass.process.membership import NEWS_REPEATS
+from siskinpass.process.membership import UPDATE_REPEATS
 
 FIGURES = Path('docs/capacity.json')
 PAGE = Path('docs/CAPACITY.md')
@@ -47,7 +47,7 @@
 def _derive(figures: Mapping[str, Any]) -> dict[str, str]:
     known: dict[str, Any] = {
         'group_size': GROUP,
-        'news': NEWS_REPEATS,
+        'news': UPDATE_REPEATS,
         **_load(figures),
         **_control(figures),
         **_state(figures),
--- a/src/siskinpass/process/broker_client.py
+++ b/src/siskinpass/process/broker_client.py
@@ -40,7 +40,7 @@
         """Handle the request to resume the stream on another server."""
 
 
-class Port(Protocol):
+class BrokerSession(Protocol):
     """Session with one broker."""
 
     def send(self, events: list[Event]) -> None:
@@ -66,7 +66,7 @@
     """Client of the broker of one group, for the tickets of this entry."""
 
     def __init__(
-        self, group: str, on_port_needed: Callable[['BrokerClient'], None]
+        self, group: str, on_session_needed: Callable[['BrokerClient'], None]
     ) -> None:
         """Start without a port.
 
@@ -75,9 +75,9 @@
             state in place of the event.
         """
         self.group = group
-        self._on_port_needed = on_port_needed
+        self._on_session_needed = on_session_needed
         self._records: dict[str, _TicketRecord] = {}
-        self._port: Port | None = None
+        self._session: BrokerSession | None = None
         self.broker = ''
 
     @property
@@ -113,22 +113,22 @@
 
     def observe(self, observed: TokensObserved) -> None:
         """Report the speed of a server, or drop it if no port is attached."""
-        if self._port is not None:
-            self._port.send([observed])
+        if self._session is not None:
+            self._session.send([observed])
 
-    def is_attached_to(self, port: Port) -> bool:
+    def is_attached_to(self, session: BrokerSession) -> bool:
         """Return whether a port is the one in use."""
-        return port is self._port
+        return session is self._session
 
-    def attach(self, port: Port, broker: str) -> None:
+    def attach(self, session: BrokerSession, broker: str) -> None:
         """Switch to a new broker and send it all tickets and grants.
 
         :param port: replaces the current port, which is closed.
         :param broker: name of the broker that the port leads to.
         """
-        if self._port is not None:
-            self._port.close()
-        self._port = port
+        if self._session is not None:
+            self._session.close()
+        self._session = session
         self.broker = broker
         events: list[Event] = []
         for record in self._records.values():
@@ -136,7 +136,7 @@
                 events.append(GrantReported(record.ticket, record.server))
             else:
                 events.append(TicketOpened(record.ticket))
-        port.send(events)
+        session.send(events)
 
     def detach(self) -> None:
         """Close the port.
@@ -144,16 +144,16 @@
         A new one is requested at once if there are tickets, else when the next
         event is due.
         """
-        if self._port is not None:
-            self._port.close()
-        self._port = None
+        if self._session is not None:
+            self._session.close()
+        self._session = None
         self.broker = ''
         if self._records:
-            self._on_port_needed(self)
+            self._on_session_needed(self)
 
-    def take(self, port: Port, commands: list[Command]) -> None:
+    def take(self, session: BrokerSession, commands: list[Command]) -> None:
         """Handle commands of the broker; those of an old port are ignored."""
-        if port is not self._port:
+        if session is not self._session:
             return
         for command in commands:
             self._handle_command(command)
@@ -190,7 +190,7 @@
             record.listener.moved()
 
     def _send(self, event: TicketOpened | GrantReleased) -> None:
-        if self._port is None:
-            self._on_port_needed(self)
+        if self._session is None:
+            self._on_session_needed(self)
         else:
-            self._port.send([event])
+            self._session.send([event])
--- a/src/siskinpass/process/claims.py
+++ b/src/siskinpass/process/claims.py
@@ -84,7 +84,7 @@
         """Return how many outcomes still have to be written."""
         return len(self._unsettled)
 
-    async def make(self, call: Call) -> HeldClaim | Replay:
+    async def acquire(self, call: Call) -> HeldClaim | Replay:
         """Claim a call by its key, or return the answer it already had.
 
         :raises RefusedError: where the store does not answer; nothing ran.
@@ -134,20 +134,20 @@
             for held in waiting:
                 await self._write_or_keep(held)
 
-    async def run_collection(self, lease: Lease) -> None:
+    async def run_expiry(self, lease: Lease) -> None:
         """Collect expired claims while a lease is held."""
         while True:
             await asyncio.sleep(COLLECT_EVERY_S)
             if lease.fence is None:
                 continue
             with suppress(StoreError):
-                removed = await self.collect()
+                removed = await self.delete_expired()
                 self._log.note('Collected expired claims.', removed=removed)
 
-    async def collect(self) -> int:
+    async def delete_expired(self) -> int:
         """Remove expired claims and return how many there were."""
         removed = 0
-        for key in await self._store.names(PREFIX):
+        for key in await self._store.list_keys(PREFIX):
             stored = await self._store.read(key)
             if stored is None:
                 continue
--- a/src/siskinpass/process/counts.py
+++ b/src/siskinpass/process/counts.py
@@ -50,7 +50,7 @@
     missed: int = 0
     refused: int = 0
     slow_backend: int = 0
-    firsts: Counter[int] = field(default_factory=Counter)
+    first_token_buckets: Counter[int] = field(default_factory=Counter)
 
     def add(self, other: 'Tally') -> None:
         """Add another tally to this one."""
@@ -58,14 +58,14 @@
         self.missed += other.missed
         self.refused += other.refused
         self.slow_backend += other.slow_backend
-        self.firsts.update(other.firsts)
+        self.first_token_buckets.update(other.first_token_buckets)
 
     def first_ms(self, fraction: float) -> int:
         """Return the bound of the bucket that holds a quantile, in ms."""
-        wanted = fraction * self.firsts.total()
+        wanted = fraction * self.first_token_buckets.total()
         seen = 0
-        for bucket in sorted(self.firsts):
-            seen += self.firsts[bucket]
+        for bucket in sorted(self.first_token_buckets):
+            seen += self.first_token_buckets[bucket]
             if seen >= wanted:
                 bucket = min(bucket, len(FIRST_BOUNDS_MS) - 1)
                 return FIRST_BOUNDS_MS[bucket]
@@ -88,7 +88,7 @@
     waited_ms: float = 0
 
 
-class CountBook:
+class TallyHistory:
     """Keep the tallies of the last seconds."""
 
     def __init__(self) -> None:
@@ -108,7 +108,7 @@
         tally.slow_backend += not outcome.met and waited_little
         if outcome.first_ms > 0:
             bucket = bisect_left(FIRST_BOUNDS_MS, outcome.first_ms)
-            tally.firsts[bucket] += 1
+            tally.first_token_buckets[bucket] += 1
 
     def add(self, second: int, node: str, tally: Tally) -> None:
         """Add the tally of another instance."""
--- a/src/siskinpass/process/discovery.py
+++ b/src/siskinpass/process/discovery.py
@@ -60,7 +60,7 @@
     return parse_listing(answer.data)
 
 
-async def follow_list(
+async def poll_listing(
     platform: str,
     on_listing: Callable[[Listing], None],
 ) -> None:
--- a/src/siskinpass/process/dispatcher.py
+++ b/src/siskinpass/process/dispatcher.py
@@ -4,8 +4,12 @@
 from collections.abc import Callable, Iterable
 
 from siskinpass.codes import Code
-from siskinpass.process.broker_client import BrokerClient, Port, TicketListener
-from siskinpass.process.hosting import FALLBACK, BrokerHost
+from siskinpass.process.broker_client import (
+    BrokerClient,
+    BrokerSession,
+    TicketListener,
+)
+from siskinpass.process.hosting import FALLBACK_PREFIX, BrokerHost
 from siskinpass.process.logs import PartLog
 from siskinpass.process.rendezvous import holder
 from siskinpass.request.ticket import Command, Event, Ticket, TokensObserved
@@ -13,10 +17,12 @@
 UNREACHABLE_S = 2.0
 
 # Opens a port to the broker of a group at another instance.
-Dial = Callable[[str, BrokerClient, Callable[[Port], None]], Port]
+SessionOpener = Callable[
+    [str, BrokerClient, Callable[[BrokerSession], None]], BrokerSession
+]
 
 
-class LocalPort:
+class LocalSession:
     """Speak to a broker in this process."""
 
     def __init__(self, host: BrokerHost, group: str, entry: str) -> None:
@@ -52,20 +58,20 @@
         self,
         own: str,
         host: BrokerHost,
-        dial: Dial,
+        open_session: SessionOpener,
         note_retry: Callable[[Code], None],
     ) -> None:
         """Start alone."""
         self._own = own
         self._host = host
-        self._dial = dial
+        self._open_session = open_session
         self._note_retry = note_retry
         self._loop = asyncio.get_running_loop()
         self._clients: dict[str, BrokerClient] = {}
         self._instances: frozenset[str] = frozenset((own,))
         self._unreachable: dict[str, float] = {}
         self._log = PartLog('dispatch')
-        self.alone = False
+        self.decides_locally = False
 
     @property
     def instances(self) -> frozenset[str]:
@@ -93,7 +99,7 @@
         """Tell the broker of a server's speed."""
         self._client(pool).observe(observed)
 
-    def take_instances(self, names: Iterable[str]) -> None:
+    def update_instances(self, names: Iterable[str]) -> None:
         """Take the live instances; desks whose broker moved follow it."""
         self._instances = frozenset(names) or frozenset((self._own,))
         for client in self._clients.values():
@@ -118,34 +124,38 @@
 
     def _broker_of(self, group: str) -> str:
         """Return the instance to ask, or the fallback's name."""
-        if self.alone:
+        if self.decides_locally:
             return self._own
         name = holder(group, self._instances)
         if self._unreachable.get(name, 0) > self._loop.time():
-            return f'{FALLBACK}{name}'
+            return f'{FALLBACK_PREFIX}{name}'
         return name
 
     def _attach(self, client: BrokerClient) -> None:
         broker = self._broker_of(client.group)
-        if broker.startswith(FALLBACK):
-            port = self._open_local(f'{FALLBACK}{client.group}', client)
+        if broker.startswith(FALLBACK_PREFIX):
+            session = self._open_local(
+                f'{FALLBACK_PREFIX}{client.group}', client
+            )
         elif broker == self._own:
-            port = self._open_local(client.group, client)
+            session = self._open_local(client.group, client)
         else:
-            port = self._dial(
+            session = self._open_session(
                 broker,
                 client,
                 lambda failed: self._lose(client, broker, failed),
             )
-        client.attach(port, broker)
+        client.attach(session, broker)
 
-    def _open_local(self, group: str, client: BrokerClient) -> LocalPort:
-        port = LocalPort(self._host, group, self._own)
-        port.on_commands = lambda commands: client.take(port, commands)
-        return port
+    def _open_local(self, group: str, client: BrokerClient) -> LocalSession:
+        session = LocalSession(self._host, group, self._own)
+        session.on_commands = lambda commands: client.take(session, commands)
+        return session
 
-    def _lose(self, client: BrokerClient, broker: str, port: Port) -> None:
-        if client.broker != broker or not client.is_attached_to(port):
+    def _lose(
+        self, client: BrokerClient, broker: str, session: BrokerSession
+    ) -> None:
+        if client.broker != broker or not client.is_attached_to(session):
             return
         self._log.warn('A broker does not answer.', broker=broker)
         self._unreachable[broker] = self._loop.time() + UNREACHABLE_S
--- a/src/siskinpass/process/engines.py
+++ b/src/siskinpass/process/engines.py
@@ -10,9 +10,9 @@
 import urllib3
 from urllib3.exceptions import HTTPError
 
-from siskinpass.process.lease_keeper import LeaseKeeper
 from siskinpass.process.logs import PartLog
 from siskinpass.process.orders import EngineReport, Order, OrderPlan
+from siskinpass.process.store_lease import StoreLease
 from siskinpass.request.ticket import ServerView
 from siskinpass.version.tree_version import CurrentVersion
 
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        lease: LeaseKeeper,
+        lease: StoreLease,
         book: CurrentVersion,
         servers: Callable[[], Iterable[ServerView]],
     ) -> None:
--- a/src/siskinpass/process/fleet/members.py
+++ b/src/siskinpass/process/fleet/members.py
@@ -87,7 +87,7 @@
 
     async def leave(self, version: int) -> None:
         """Announce by gossip that this instance leaves, and deregister it."""
-        self.gossip.tell_self(leaving=True, tree_version=version)
+        self.gossip.update_own_state(leaving=True, tree_version=version)
         try:
             await self._store.delete(INSTANCES_KIND, self._settings.name)
         except StoreError as error:
@@ -106,7 +106,7 @@
         found = [decode_member(entry.body) for entry in listed.stored]
         members = tuple(member for member in found if member is not None)
         self._max_seen = max(self._max_seen, len(members))
-        self.gossip.list_seeds(members)
+        self.gossip.set_seeds(members)
 
     def _update_max_seen(self) -> None:
         live = len(self.gossip.membership.live)
--- a/src/siskinpass/process/gossip.py
+++ b/src/siskinpass/process/gossip.py
@@ -12,9 +12,9 @@
 from siskinpass.process.membership import (
     Member,
     Membership,
+    OwnStateChanged,
     PacketArrived,
     SeedsListed,
-    SelfChanged,
     SendPacket,
     TimePassed,
 )
@@ -66,17 +66,17 @@
             return
         self._apply(PacketArrived(packet))
 
-    def list_seeds(self, members: tuple[Member, ...]) -> None:
+    def set_seeds(self, members: tuple[Member, ...]) -> None:
         """Take the instances of the platform's list."""
         self._apply(SeedsListed(members))
 
-    def tell_self(self, *, leaving: bool, tree_version: int) -> None:
+    def update_own_state(self, *, leaving: bool, tree_version: int) -> None:
         """Change what this instance tells of itself."""
         own = self._membership.own
         same_state = bool(own.state) == leaving
         if same_state and own.tree_version == tree_version:
             return
-        self._apply(SelfChanged(leaving, tree_version))
+        self._apply(OwnStateChanged(leaving, tree_version))
 
     async def run(self) -> None:
         """Let time pass."""
@@ -86,7 +86,7 @@
 
     def _apply(
         self,
-        event: PacketArrived | SeedsListed | SelfChanged | TimePassed,
+        event: PacketArrived | SeedsListed | OwnStateChanged | TimePassed,
     ) -> None:
         for command in self._membership.apply(event, self._loop.time()):
             self._send(command)
--- a/src/siskinpass/process/hosting.py
+++ b/src/siskinpass/process/hosting.py
@@ -22,7 +22,7 @@
 TICK_S = 0.05
 SESSION_GRACE_S = 1.0
 UNUSED_KEPT_S = 30.0
-FALLBACK = 'fallback:'
+FALLBACK_PREFIX = 'fallback:'
 
 OnCommands = Callable[[list[Command]], None]
 PolicyLookup = Callable[[str], BrokerPolicy]
@@ -33,11 +33,11 @@
     """Hold one broker and the sessions of its entries."""
 
     broker: Broker
-    sessions: dict[str, 'Session'] = field(default_factory=dict)
+    sessions: dict[str, 'EntrySession'] = field(default_factory=dict)
     used_s: float = 0.0
 
 
-class Session:
+class EntrySession:
     """Connect one entry to one hosted broker."""
 
     def __init__(
@@ -81,7 +81,7 @@
         self._log = PartLog('broker')
 
     @property
-    def groups(self) -> dict[str, Broker]:
+    def brokers(self) -> dict[str, Broker]:
         """Return the brokers by the name of their group."""
         return {group: hosted.broker for group, hosted in self._hosted.items()}
 
@@ -90,33 +90,33 @@
         group: str,
         entry: str,
         on_commands: OnCommands,
-    ) -> Session:
+    ) -> EntrySession:
         """Start a session; it replaces an earlier one of the same entry."""
         hosted = self._host(group)
-        session = Session(self, group, entry, on_commands)
+        session = EntrySession(self, group, entry, on_commands)
         if entry in hosted.sessions:
             self._apply(hosted, EntryLost(entry))
         hosted.sessions[entry] = session
         return session
 
-    def take(self, session: Session, events: Iterable[Event]) -> None:
+    def take(self, session: EntrySession, events: Iterable[Event]) -> None:
         """Apply the events of one session."""
         hosted = self._hosted.get(session.group)
         if hosted is None or hosted.sessions.get(session.entry) != session:
             return
         self._apply(hosted, *events)
 
-    def end(self, session: Session) -> None:
+    def end(self, session: EntrySession) -> None:
         """End a session after a grace in which a new one may replace it."""
         self._loop.call_later(SESSION_GRACE_S, self._lose, session)
 
-    def lose_entry(self, entry: str) -> None:
+    def remove_entry(self, entry: str) -> None:
         """Void all that a dead entry held."""
         for hosted in self._hosted.values():
             if hosted.sessions.pop(entry, None) is not None:
                 self._apply(hosted, EntryLost(entry))
 
-    def list_servers(self, pools: dict[str, tuple[ServerView, ...]]) -> None:
+    def update_servers(self, pools: dict[str, tuple[ServerView, ...]]) -> None:
         """Take the backend servers of each group."""
         self._servers = pools
         for group, hosted in self._hosted.items():
@@ -141,7 +141,7 @@
         return hosted
 
     def _listed(self, group: str) -> tuple[ServerView, ...]:
-        return self._servers.get(group.removeprefix(FALLBACK), ())
+        return self._servers.get(group.removeprefix(FALLBACK_PREFIX), ())
 
     def _apply(self, hosted: _Hosted, *events: Event) -> None:
         commands = hosted.broker.apply_all(events, self._loop.time())
@@ -155,7 +155,7 @@
             if session is not None:
                 session.on_commands(own)
 
-    def _lose(self, session: Session) -> None:
+    def _lose(self, session: EntrySession) -> None:
         hosted = self._hosted.get(session.group)
         if hosted and hosted.sessions.get(session.entry) == session:
             hosted.sessions.pop(session.entry)
--- a/src/siskinpass/process/lease.py
+++ b/src/siskinpass/process/lease.py
@@ -103,14 +103,14 @@
         taken = LeaseRecord(self._own, record.fence + 1, self._length_s)
         return LeaseWrite(taken, self._version, now_s)
 
-    def written(self, write: LeaseWrite, version: int) -> None:
+    def write_confirmed(self, write: LeaseWrite, version: int) -> None:
         """Take in that a write was confirmed."""
         self._record = write.record
         self._version = version
         self._seen_s = write.asked_s
         self._good_until_s = write.asked_s + self._length_s - self._margin_s
 
-    def failed(self) -> None:
+    def write_failed(self) -> None:
         """Take in that a write failed or has an unknown outcome.
 
         The lease counts only as long as it did before; the next reading
--- a/src/siskinpass/process/membership.py
+++ b/src/siskinpass/process/membership.py
@@ -37,7 +37,7 @@
 LEAVING = 2
 DEAD = 3
 
-NEWS_REPEATS = 8
+UPDATE_REPEATS = 8
 JOIN_TARGETS = 3
 
 
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SelfChanged:
+class OwnStateChanged:
     """What this instance tells of itself changed."""
 
     leaving: bool
@@ -137,7 +137,7 @@
 
     member: Member
     since_s: float
-    repeats: int = NEWS_REPEATS
+    repeats: int = UPDATE_REPEATS
 
 
 class Membership:
@@ -162,7 +162,7 @@
         self._seeds: tuple[Member, ...] = ()
         self._now_s = 0.0
         self._out: list[SendPacket] = []
-        self._own_repeats = NEWS_REPEATS
+        self._own_repeats = UPDATE_REPEATS
 
     @property
     def own(self) -> Member:
@@ -191,7 +191,7 @@
 
     def apply(
         self,
-        event: PacketArrived | SeedsListed | TimePassed | SelfChanged,
+        event: PacketArrived | SeedsListed | TimePassed | OwnStateChanged,
         now_s: float,
     ) -> list[SendPacket]:
         """Take in one event and return the packets to send."""
@@ -221,7 +221,7 @@
         self._seeds = tuple(seed for seed in event.members if seed.name != own)
 
     @_take.register
-    def _change(self, event: SelfChanged) -> None:
+    def _change(self, event: OwnStateChanged) -> None:
         self._own = replace(
             self._own,
             counter=self._own.counter + 1,
@@ -259,7 +259,7 @@
         if member.age_rank > known.member.age_rank:
             if member.state == known.member.state:
                 known.member = member
-                known.repeats = NEWS_REPEATS
+                known.repeats = UPDATE_REPEATS
             else:
                 self._entries[member.name] = _Entry(member, self._now_s)
 
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -20,14 +20,13 @@
 )
 from siskinpass.process.broker import BrokerPolicy
 from siskinpass.process.claims import Claims
-from siskinpass.process.counts import CountBook
-from siskinpass.process.discovery import Listing, follow_list
+from siskinpass.process.counts import TallyHistory
+from siskinpass.process.discovery import Listing, poll_listing
 from siskinpass.process.dispatcher import Dispatcher
 from siskinpass.process.engines import EngineKeeper
 from siskinpass.process.front import Front
 from siskinpass.process.gossip import Gossip
-from siskinpass.process.hosting import FALLBACK, BrokerHost
-from siskinpass.process.lease_keeper import LEASE, LeaseKeeper
+from siskinpass.process.hosting import FALLBACK_PREFIX, BrokerHost
 from siskinpass.process.logs import PartLog
 from siskinpass.process.membership import Member, Membership, MembershipPolicy
 from siskinpass.process.metrics import Metrics
@@ -51,6 +50,7 @@
     encode_after,
 )
 from siskinpass.process.store import Store
+from siskinpass.process.store_lease import STATUS_LEASE_KEY, StoreLease
 from siskinpass.process.streams import StreamMonitor
 from siskinpass.process.treewatch import TreeWatch
 from siskinpass.request.ticket import ServerView
@@ -122,15 +122,15 @@
         self.dispatcher = Dispatcher(
             settings.name,
             self.host,
-            self._links.dial,
+            self._links.open_session,
             self.metrics_book.retried,
         )
-        self.dispatcher.alone = settings.decisions != SHARED
+        self.dispatcher.decides_locally = settings.decisions != SHARED
 
     def _make_relay(self) -> None:
         """Make the parts that answer callers."""
         settings = self._settings
-        self._counts = CountBook()
+        self._counts = TallyHistory()
         self._claims = Claims(self._store)
         self._backends = BackendPool(self._loop)
         self.watch = StreamMonitor(self.dispatcher)
@@ -150,9 +150,9 @@
                 lambda: first_address(self.addresses(settings.zone)),
             ),
         )
-        self._lease = LeaseKeeper(
+        self._lease = StoreLease(
             self._store,
-            LEASE,
+            STATUS_LEASE_KEY,
             f'{settings.name}-{self._incarnation}',
         )
         self._status = StatusKeeper(
@@ -240,7 +240,7 @@
             'instance': self._settings.name,
             'open_requests': self.relay.open_requests,
             'unsettled_claims': self._claims.unsettled,
-            'brokers': describe_brokers(self.host.groups),
+            'brokers': describe_brokers(self.host.brokers),
             **versions,
             **self._status.document,
         }
@@ -308,9 +308,9 @@
                 self._lease.run(),
                 self._status.run(),
                 self._engines.run(),
-                follow_list(settings.platform, self._take_listing),
+                poll_listing(settings.platform, self._take_listing),
                 self._recheck(),
-                self._claims.run_collection(self._lease),
+                self._claims.run_expiry(self._lease),
             )
         ]
         try:
@@ -347,11 +347,11 @@
             Member(entry.name, entry.peer_address, entry.caller_address)
             for entry in listing.entries
         ]
-        self.gossip.list_seeds(tuple(seeds))
+        self.gossip.set_seeds(tuple(seeds))
         pools: dict[str, list[ServerView]] = {}
         for server in listing.servers:
             pools.setdefault(server.pool, []).append(server)
-        self.host.list_servers(
+        self.host.update_servers(
             {pool: tuple(servers) for pool, servers in pools.items()},
         )
         self._addresses = {
@@ -361,21 +361,21 @@
     def _take_members(self) -> None:
         membership = self.gossip.membership
         live = membership.live
-        self._links.take_addresses(
+        self._links.update_addresses(
             {member.name: member.peer_address for member in live},
         )
-        self.tree_watch.take_members(tuple(live))
+        self.tree_watch.update_members(tuple(live))
         names = {member.name for member in membership.serving}
         alive = {member.name for member in live}
         for gone in self.dispatcher.instances - alive:
-            self.host.lose_entry(gone)
-        self.dispatcher.take_instances(names)
+            self.host.remove_entry(gone)
+        self.dispatcher.update_instances(names)
 
     def _take_version(self, version: TreeVersion) -> None:
         self._tell_self()
 
     def _tell_self(self) -> None:
-        self.gossip.tell_self(
+        self.gossip.update_own_state(
             leaving=self._leaving,
             tree_version=self.tree_watch.book.number,
         )
@@ -387,10 +387,10 @@
         version = self.tree_watch.book.current
         pool = Pool()
         if version is not None:
-            name = group.removeprefix(FALLBACK)
+            name = group.removeprefix(FALLBACK_PREFIX)
             pool = version.tree.root.pools.get(name, pool)
         instance_count = 1
-        if group.startswith(FALLBACK) or self.dispatcher.alone:
+        if group.startswith(FALLBACK_PREFIX) or self.dispatcher.decides_locally:
             instance_count = max(1, len(self.gossip.membership.serving))
         return broker_policy(self._settings.decisions, pool, instance_count)
 
--- a/src/siskinpass/process/peer_server.py
+++ b/src/siskinpass/process/peer_server.py
@@ -11,7 +11,7 @@
 
 from siskinpass.process import peer_pb2 as pb
 from siskinpass.process.codec import decode_event, encode_command
-from siskinpass.process.hosting import BrokerHost, Session
+from siskinpass.process.hosting import BrokerHost, EntrySession
 from siskinpass.process.peer_grpc import PeerBase
 from siskinpass.process.peers import KEY_HEADER, PeerSecurity
 from siskinpass.process.session_wire import STREAM_ERRORS, Outbox
@@ -80,7 +80,7 @@
     async def _receive(
         self,
         stream: Stream,
-        session: Session,
+        session: EntrySession,
         first: pb.EntryBatch,
         outbox: Outbox,
     ) -> None:
--- a/src/siskinpass/process/peers.py
+++ b/src/siskinpass/process/peers.py
@@ -7,9 +7,9 @@
 from grpclib.client import Channel
 from grpclib.protocol import H2Protocol
 
-from siskinpass.process.broker_client import BrokerClient, Port
+from siskinpass.process.broker_client import BrokerClient, BrokerSession
 from siskinpass.process.peer_grpc import PeerStub
-from siskinpass.process.remote_port import RemotePort
+from siskinpass.process.remote_session import RemoteSession
 
 CALL_TIMEOUT_S = 2.0
 KEY_HEADER = 'x-siskinpass-peer-key'
@@ -45,7 +45,7 @@
         self._channels: dict[str, Channel] = {}
         self._addresses: dict[str, str] = {}
 
-    def take_addresses(self, addresses: dict[str, str]) -> None:
+    def update_addresses(self, addresses: dict[str, str]) -> None:
         """Take the peer addresses of the live instances by name."""
         for name, channel in tuple(self._channels.items()):
             if addresses.get(name) != self._addresses.get(name):
@@ -53,14 +53,14 @@
                 self._channels.pop(name)
         self._addresses = addresses
 
-    def dial(
+    def open_session(
         self,
         name: str,
         broker_client: BrokerClient,
-        on_lost: Callable[[Port], None],
-    ) -> Port:
+        on_lost: Callable[[BrokerSession], None],
+    ) -> BrokerSession:
         """Open a broker session with another instance."""
-        return RemotePort(self.stub(name), self._own, broker_client, on_lost)
+        return RemoteSession(self.stub(name), self._own, broker_client, on_lost)
 
     def stub(self, name: str) -> PeerStub:
         """Return a stub for another instance.
--- a/src/siskinpass/process/relay.py
+++ b/src/siskinpass/process/relay.py
@@ -15,7 +15,7 @@
 )
 from siskinpass.process.attempt import CallerGoneError
 from siskinpass.process.claims import Claims, HeldClaim, Replay
-from siskinpass.process.counts import CountBook, Outcome
+from siskinpass.process.counts import Outcome, TallyHistory
 from siskinpass.process.dispatcher import Dispatcher
 from siskinpass.process.logs import PartLog
 from siskinpass.process.metrics import Metrics
@@ -44,7 +44,7 @@
     backends: BackendPool
     watch: StreamMonitor
     claims: Claims
-    counts: CountBook
+    counts: TallyHistory
     metrics: Metrics
     address_of: Callable[[str], str]
     tells_priority: bool
@@ -161,7 +161,7 @@
     ) -> HeldClaim | Replay | None:
         if call.repeatable or not call.idempotency_key:
             return None
-        claim = await self._parts.claims.make(call)
+        claim = await self._parts.claims.acquire(call)
         if isinstance(claim, Replay):
             wire = whole_answer(
                 claim.status,
--- a/src/siskinpass/process/remote_port.py
+++ b/src/siskinpass/process/remote_session.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 
 from siskinpass.process import peer_pb2 as pb
-from siskinpass.process.broker_client import BrokerClient, Port
+from siskinpass.process.broker_client import BrokerClient, BrokerSession
 from siskinpass.process.codec import decode_command, encode_event
 from siskinpass.process.peer_grpc import PeerStub
 from siskinpass.process.session_wire import STREAM_ERRORS, Outbox
@@ -20,7 +20,7 @@
 SILENT_S = 0.45
 
 
-class RemotePort:
+class RemoteSession:
     """Speak to a broker at another instance."""
 
     def __init__(
@@ -28,7 +28,7 @@
         stub: PeerStub,
         own: str,
         broker_client: BrokerClient,
-        on_lost: Callable[[Port], None],
+        on_lost: Callable[[BrokerSession], None],
     ) -> None:
         """Start the session; it reports its own end once."""
         self._stub = stub
--- a/src/siskinpass/process/status.py
+++ b/src/siskinpass/process/status.py
@@ -24,12 +24,12 @@
     NodeState,
     PromiseState,
 )
-from siskinpass.process.counts import CountBook, Tally, merge
-from siskinpass.process.lease_keeper import LeaseKeeper
+from siskinpass.process.counts import Tally, TallyHistory, merge
 from siskinpass.process.logs import PartLog
 from siskinpass.process.membership import Member
 from siskinpass.process.peers import PeerLinks
 from siskinpass.process.store import Store
+from siskinpass.process.store_lease import StoreLease
 from siskinpass.process.treewatch import PEER_ERRORS
 from siskinpass.version.tree_version import CurrentVersion
 
@@ -63,7 +63,7 @@
     store: Store
     links: PeerLinks
     book: CurrentVersion
-    counts: CountBook
+    counts: TallyHistory
     members: Callable[[], list[Member]]
 
 
@@ -73,7 +73,7 @@
     def __init__(
         self,
         parts: StatusParts,
-        lease: LeaseKeeper,
+        lease: StoreLease,
     ) -> None:
         """Start with nothing judged."""
         self._own = parts.name
@@ -84,7 +84,7 @@
         self._members = parts.members
         self._lease = lease
         self._loop = asyncio.get_running_loop()
-        self._merged = CountBook()
+        self._merged = TallyHistory()
         self._watches: dict[str, BreachWatch] = {}
         self._states: dict[str, NodeState] = {}
         self._alarms: list[Alarm] = []
@@ -250,7 +250,7 @@
 
 
 def encode_after(
-    counts: CountBook,
+    counts: TallyHistory,
     second: int,
     last: int,
 ) -> list[pb.NodeCounts]:
@@ -263,8 +263,8 @@
 
 
 def _encode_tally(node: str, age_s: int, tally: Tally) -> pb.NodeCounts:
-    last = max(tally.firsts, default=-1)
-    buckets = [tally.firsts[bucket] for bucket in range(last + 1)]
+    last = max(tally.first_token_buckets, default=-1)
+    buckets = [tally.first_token_buckets[bucket] for bucket in range(last + 1)]
     return pb.NodeCounts(
         node=node,
         age_s=age_s,
@@ -285,5 +285,5 @@
     )
     for bucket, count in enumerate(counts.first_buckets):
         if count:
-            tally.firsts[bucket] = count
+            tally.first_token_buckets[bucket] = count
     return tally
--- a/src/siskinpass/process/store.py
+++ b/src/siskinpass/process/store.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stored:
+class StoredObject:
     """Hold one object as it was read.
 
     :param version: the store's version of the object.
@@ -71,7 +71,7 @@
             thread_name_prefix='store',
         )
 
-    async def read(self, key: str) -> Stored | None:
+    async def read(self, key: str) -> StoredObject | None:
         """Return an object, or none where there is none.
 
         :raises StoreError: where the store does not answer.
@@ -83,7 +83,7 @@
         key: str,
         version: int,
         wait_s: float,
-    ) -> Stored | None:
+    ) -> StoredObject | None:
         """Return an object once it is newer, or as it is after a time."""
         query = f'?watch={version}&wait_s={wait_s}'
         timeout_s = wait_s + WATCH_MARGIN_S
@@ -106,7 +106,7 @@
         """Remove an object that must have a version."""
         await self._write('DELETE', key, b'', {'If-Match': str(version)})
 
-    async def names(self, prefix: str) -> list[str]:
+    async def list_keys(self, prefix: str) -> list[str]:
         """Return the keys that begin with a prefix."""
         listed = await self._call('read', self._names, prefix)
         return sorted(listed)
@@ -143,7 +143,9 @@
         finally:
             self._open_calls -= 1
 
-    def _read(self, key: str, query: str, timeout_s: float) -> Stored | None:
+    def _read(
+        self, key: str, query: str, timeout_s: float
+    ) -> StoredObject | None:
         url = f'{self._base_url}/objects/{key}{query}'
         with _read_errors():
             answer = self._http.request('GET', url, timeout=_timeout(timeout_s))
@@ -151,7 +153,7 @@
             return None
         if answer.status != STATUS_OK:
             raise StoreError(Code.store_down, f'status {answer.status}')
-        return Stored(int(answer.headers['ETag']), answer.data)
+        return StoredObject(int(answer.headers['ETag']), answer.data)
 
     def _names(self, prefix: str) -> list[str]:
         url = f'{self._base_url}/objects/?prefix={prefix}'
--- a/src/siskinpass/process/lease_keeper.py
+++ b/src/siskinpass/process/store_lease.py
@@ -7,13 +7,13 @@
 from siskinpass.process.logs import PartLog
 from siskinpass.process.store import Store
 
-LEASE = 'leases/status'
+STATUS_LEASE_KEY = 'leases/status'
 LEASE_S = 6.0
 MARGIN_S = 1.5
 LEASE_EVERY_S = 2.0
 
 
-class LeaseKeeper:
+class StoreLease:
     """Keep trying for one lease in the object store."""
 
     def __init__(self, store: Store, key: str, own: str) -> None:
@@ -35,7 +35,7 @@
             try:
                 await self._step()
             except StoreError:
-                self._logic.failed()
+                self._logic.write_failed()
             await asyncio.sleep(LEASE_EVERY_S)
 
     async def _step(self) -> None:
@@ -57,6 +57,6 @@
                 body,
                 write.version,
             )
-        self._logic.written(write, version)
+        self._logic.write_confirmed(write, version)
         if not held:
             self._log.note('Took a lease.', fence=write.record.fence)
--- a/src/siskinpass/process/treewatch.py
+++ b/src/siskinpass/process/treewatch.py
@@ -57,7 +57,7 @@
         """Return the version in force."""
         return self._book
 
-    def take_members(self, members: tuple[Member, ...]) -> None:
+    def update_members(self, members: tuple[Member, ...]) -> None:
         """Take the live members and the versions that they told of."""
         self._members = members
         if any(member.tree_version > self._book.number for member in members):
--- a/src/siskinpass/version/repository.py
+++ b/src/siskinpass/version/repository.py
@@ -24,7 +24,7 @@
     StoreUnconfirmedError,
     TreeError,
 )
-from siskinpass.process.store import Store, Stored
+from siskinpass.process.store import Store, StoredObject
 from siskinpass.version.document import parse_tree
 from siskinpass.version.edit import rebase
 from siskinpass.version.keys import KeyTable
@@ -106,7 +106,7 @@
         """
         return await self.load(await self._store.read(HEAD))
 
-    async def watch(self, seen: int, wait_s: float) -> Stored | None:
+    async def watch(self, seen: int, wait_s: float) -> StoredObject | None:
         """Return the head object once it is newer than a version seen.
 
         :param seen: version of the object that the caller has seen.
@@ -114,7 +114,7 @@
         """
         return await self._store.watch(HEAD, seen, wait_s)
 
-    async def load(self, stored: Stored | None) -> TreeVersion | None:
+    async def load(self, stored: StoredObject | None) -> TreeVersion | None:
         """Return the tree version that a head object names.
 
         :param stored: the head object; with None the result is None.
--- a/tests/test_breach.py
+++ b/tests/test_breach.py
@@ -3,7 +3,7 @@
 import pytest
 
 from siskinpass.process.breach import BreachPolicy, BreachWatch, Cause
-from siskinpass.process.counts import CountBook, Outcome, Tally, merge
+from siskinpass.process.counts import Outcome, Tally, TallyHistory, merge
 
 
 def tallies_of(*spans):
@@ -100,7 +100,7 @@
 
     def test_window_and_merge(self):
         """Tallies of two instances are added per second."""
-        one, other = CountBook(), CountBook()
+        one, other = TallyHistory(), TallyHistory()
         one.note(Outcome('w/c', met=True, first_ms=30), 5.2)
         other.note(Outcome('w/c', met=False, first_ms=900), 5.9)
         for second, node, tally in other.after(0):
@@ -112,7 +112,7 @@
 
     def test_old_seconds_are_dropped(self):
         """The number of stored seconds is bounded."""
-        book = CountBook()
+        book = TallyHistory()
         for second in range(500):
             book.note(Outcome('w/c', met=True), float(second))
         assert len(list(book.after(0))) <= 41
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -33,7 +33,7 @@
         logic = LeaseLogic('a', LENGTH_S, MARGIN_S)
         logic.observe(None, 0, 0.0)
         logic.next_write(0.0)
-        logic.failed()
+        logic.write_failed()
         assert logic.fence(0.1) is None
 
 
@@ -72,15 +72,15 @@
             return
         logic = self.logics[who]
         if write.version != self.version:
-            logic.failed()
+            logic.write_failed()
             return
         self.version += 1
         self.record = write.record
         self.last_fence = max(self.last_fence, write.record.fence)
         if lost:
-            logic.failed()
+            logic.write_failed()
         else:
-            logic.written(write, self.version)
+            logic.write_confirmed(write, self.version)
 
     @rule(step=st.floats(0.1, 20))
     def wait(self, step):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,9 +15,9 @@
     Member,
     Membership,
     MembershipPolicy,
+    OwnStateChanged,
     PacketArrived,
     SeedsListed,
-    SelfChanged,
     TimePassed,
 )
 
@@ -163,7 +163,7 @@
         """Who leaves is no address to give, but not dead."""
         network = Network(5)
         network.run(4)
-        network.send('m1', SelfChanged(leaving=True, tree_version=0))
+        network.send('m1', OwnStateChanged(leaving=True, tree_version=0))
         network.run(1)
         for name in network.names:
             serving = {member.name for member in network.members[name].serving}
@@ -174,7 +174,7 @@
         """A version told by one member reaches all with the heartbeats."""
         network = Network(32)
         network.run(4)
-        network.send('m7', SelfChanged(leaving=False, tree_version=9))
+        network.send('m7', OwnStateChanged(leaving=False, tree_version=9))
         network.run(3)
         for name in network.names:
             versions = {
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -13,7 +13,7 @@
     StoreUnconfirmedError,
     TreeError,
 )
-from siskinpass.process.store import Stored
+from siskinpass.process.store import StoredObject
 from siskinpass.version.edit import ConflictError
 from siskinpass.version.repository import HEAD, Proposal, TreeRepository
 
@@ -57,7 +57,7 @@
         if (found.version if found else None) != version:
             raise StoreConflictError(Code.tree_conflict)
         self.version += 1
-        self.objects[key] = Stored(self.version, body)
+        self.objects[key] = StoredObject(self.version, body)
         if step == 'lost':
             raise StoreUnconfirmedError(Code.edit_unconfirmed)
         return self.version
