--- a/src/siskinpass/process/claims.py
+++ b/src/siskinpass/process/claims.py
@@ -29,13 +29,13 @@
     decide_claim,
 )
 
-OPEN_S = 60.0
+OPEN_CLAIM_S = 60.0
 EXPIRY_S = 86_400.0
-RETRY_S = 1.0
-COLLECT_EVERY_S = 600.0
-RETRY_MS = 1000
-UNSETTLED_MOST = 2000
-CREATE_TRIES = 3
+WRITE_RETRY_S = 1.0
+EXPIRY_INTERVAL_S = 600.0
+RETRY_AFTER_MS = 1000
+MAX_UNSETTLED = 2000
+CREATE_ATTEMPTS = 3
 PREFIX = 'claims/'
 DIGEST_BYTES = 16
 
@@ -76,7 +76,7 @@
         """Start with nothing to settle."""
         self._store = store
         self._wall_clock = wall_clock
-        self._unsettled: deque[HeldClaim] = deque(maxlen=UNSETTLED_MOST)
+        self._unsettled: deque[HeldClaim] = deque(maxlen=MAX_UNSETTLED)
         self._log = PartLog('claim')
 
     @property
@@ -97,14 +97,14 @@
             ClaimState.open,
             self._wall_clock(),
         )
-        for _ in range(CREATE_TRIES):
+        for _ in range(CREATE_ATTEMPTS):
             try:
-                return await self._try_make(key, claim)
+                return await self._try_acquire(key, claim)
             except StoreUnconfirmedError:
                 continue
             except StoreError as error:
                 raise _store_down(str(error)) from error
-        self._settle_later(HeldClaim(key, claim, 0))
+        self._queue_write(HeldClaim(key, claim, 0))
         raise _store_down('the claim could not be confirmed')
 
     async def settle(
@@ -123,21 +123,21 @@
             status=status,
             body=body.decode(errors='replace'),
         )
-        await self._write_or_keep(replace(held, claim=settled))
+        await self._write_or_queue(replace(held, claim=settled))
 
     async def run(self) -> None:
         """Repeat the writes that failed."""
         while True:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(WRITE_RETRY_S)
             waiting = tuple(self._unsettled)
             self._unsettled.clear()
             for held in waiting:
-                await self._write_or_keep(held)
+                await self._write_or_queue(held)
 
     async def run_expiry(self, lease: Lease) -> None:
         """Collect expired claims while a lease is held."""
         while True:
-            await asyncio.sleep(COLLECT_EVERY_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             if lease.fence is None:
                 continue
             with suppress(StoreError):
@@ -157,24 +157,28 @@
                 removed += 1
         return removed
 
-    async def _try_make(self, key: str, claim: Claim) -> HeldClaim | Replay:
+    async def _try_acquire(self, key: str, claim: Claim) -> HeldClaim | Replay:
         try:
             version = await self._store.create(key, claim.dump())
         except StoreConflictError:
-            return await self._take_found(key, claim)
+            return await self._handle_existing(key, claim)
         return HeldClaim(key, claim, version)
 
-    async def _take_found(self, key: str, claim: Claim) -> HeldClaim | Replay:
+    async def _handle_existing(
+        self, key: str, claim: Claim
+    ) -> HeldClaim | Replay:
         stored = await self._store.read(key)
         if stored is None:
             raise StoreUnconfirmedError(Code.edit_unconfirmed, 'claim is gone')
         found = Claim.load(stored.body)
         age_s = self._wall_clock() - found.written_s
-        decision = decide_claim(found, claim.nonce, claim.digest, age_s, OPEN_S)
+        decision = decide_claim(
+            found, claim.nonce, claim.digest, age_s, OPEN_CLAIM_S
+        )
         if decision.action is ClaimAction.replay:
             return Replay(found.status, found.body.encode())
         if decision.action is ClaimAction.refuse:
-            raise RequestError(decision.code, '', RETRY_MS)
+            raise RequestError(decision.code, '', RETRY_AFTER_MS)
         if decision.action is ClaimAction.run:
             return HeldClaim(key, claim, stored.version)
         try:
@@ -187,17 +191,17 @@
             raise RequestError(
                 Code.claim_in_progress,
                 '',
-                RETRY_MS,
+                RETRY_AFTER_MS,
             ) from error
         return HeldClaim(key, claim, version)
 
-    async def _write_or_keep(self, held: HeldClaim) -> None:
+    async def _write_or_queue(self, held: HeldClaim) -> None:
         try:
             await self._write(held)
         except StoreConflictError:
             self._log.warn('A claim changed under its holder.', key=held.key)
         except StoreError:
-            self._settle_later(held)
+            self._queue_write(held)
 
     async def _write(self, held: HeldClaim) -> None:
         """Write an outcome; find one's own claim by its nonce if need be."""
@@ -211,7 +215,7 @@
             version = stored.version
         await self._store.replace(held.key, held.claim.dump(), version)
 
-    def _settle_later(self, held: HeldClaim) -> None:
+    def _queue_write(self, held: HeldClaim) -> None:
         # A write whose confirmation was lost has changed the version, so the
         # repeat looks for the claim by its nonce.
         claim = held.claim
@@ -230,4 +234,4 @@
 
 
 def _store_down(detail: str) -> RefusedError:
-    return RefusedError(Code.claim_store_down, detail, RETRY_MS)
+    return RefusedError(Code.claim_store_down, detail, RETRY_AFTER_MS)
--- a/src/siskinpass/process/counts.py
+++ b/src/siskinpass/process/counts.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-KEPT_S = 40
-NODES_MOST = 8000
-FIRST_BOUNDS_MS = (
+RETENTION_S = 40
+MAX_NODES = 8000
+FIRST_TOKEN_BOUNDS_MS = (
     10,
     20,
     40,
@@ -62,13 +62,13 @@
 
     def first_ms(self, fraction: float) -> int:
         """Return the bound of the bucket that holds a quantile, in ms."""
-        wanted = fraction * self.first_token_buckets.total()
+        target = fraction * self.first_token_buckets.total()
         seen = 0
         for bucket in sorted(self.first_token_buckets):
             seen += self.first_token_buckets[bucket]
-            if seen >= wanted:
-                bucket = min(bucket, len(FIRST_BOUNDS_MS) - 1)
-                return FIRST_BOUNDS_MS[bucket]
+            if seen >= target:
+                bucket = min(bucket, len(FIRST_TOKEN_BOUNDS_MS) - 1)
+                return FIRST_TOKEN_BOUNDS_MS[bucket]
         return 0
 
 
@@ -97,22 +97,22 @@
 
     def note(self, outcome: Outcome, now_s: float) -> None:
         """Count one outcome."""
-        tallies = self._second(int(now_s))
-        if outcome.node not in tallies and len(tallies) >= NODES_MOST:
+        tallies = self._tallies_of(int(now_s))
+        if outcome.node not in tallies and len(tallies) >= MAX_NODES:
             return
         tally = tallies.setdefault(outcome.node, Tally())
         tally.total += 1
         tally.missed += not outcome.met
         tally.refused += outcome.refused
-        waited_little = outcome.waited_ms * 2 < outcome.first_ms
-        tally.slow_backend += not outcome.met and waited_little
+        started_promptly = outcome.waited_ms * 2 < outcome.first_ms
+        tally.slow_backend += not outcome.met and started_promptly
         if outcome.first_ms > 0:
-            bucket = bisect_left(FIRST_BOUNDS_MS, outcome.first_ms)
+            bucket = bisect_left(FIRST_TOKEN_BOUNDS_MS, outcome.first_ms)
             tally.first_token_buckets[bucket] += 1
 
     def add(self, second: int, node: str, tally: Tally) -> None:
         """Add the tally of another instance."""
-        self._second(second).setdefault(node, Tally()).add(tally)
+        self._tallies_of(second).setdefault(node, Tally()).add(tally)
 
     def after(self, second: int) -> Iterable[tuple[int, str, Tally]]:
         """Return the tallies of the seconds after one."""
@@ -142,12 +142,12 @@
             if second <= last:
                 self._seconds.pop(second)
 
-    def _second(self, second: int) -> dict[str, Tally]:
+    def _tallies_of(self, second: int) -> dict[str, Tally]:
         tallies = self._seconds.get(second)
         if tallies is None:
             tallies = {}
             self._seconds[second] = tallies
-            self._forget(second - KEPT_S)
+            self._forget(second - RETENTION_S)
         return tallies
 
 
--- a/src/siskinpass/process/discovery.py
+++ b/src/siskinpass/process/discovery.py
@@ -19,7 +19,7 @@
 ENTRY = 'entry'
 LEAVING = 'leaving'
 TIMEOUT_S = 2.0
-LIST_EVERY_S = 1.0
+POLL_INTERVAL_S = 1.0
 STATUS_OK = 200
 
 
@@ -81,7 +81,7 @@
             log.warn('The instance list does not answer.', why=str(error))
         else:
             on_listing(listing)
-        await asyncio.sleep(LIST_EVERY_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def parse_listing(body: bytes) -> Listing:
--- a/src/siskinpass/process/dispatcher.py
+++ b/src/siskinpass/process/dispatcher.py
@@ -14,7 +14,7 @@
 from siskinpass.process.rendezvous import holder
 from siskinpass.request.ticket import Command, Event, Ticket, TokensObserved
 
-UNREACHABLE_S = 2.0
+UNREACHABLE_TTL_S = 2.0
 
 # Opens a port to the broker of a group at another instance.
 SessionOpener = Callable[
@@ -29,20 +29,20 @@
         """Open a session; commands arrive in a later turn of the loop."""
         self._loop = asyncio.get_running_loop()
         self._closed = False
-        self._session = host.open(group, entry, self._take)
+        self._session = host.open(group, entry, self._deliver)
         self.on_commands: Callable[[list[Command]], None] | None = None
 
     def send(self, events: list[Event]) -> None:
         """Send events in order."""
         if events:
-            self._loop.call_soon(self._session.tell, events)
+            self._loop.call_soon(self._session.apply, events)
 
     def close(self) -> None:
         """End the session."""
         self._closed = True
         self._session.close()
 
-    def _take(self, commands: list[Command]) -> None:
+    def _deliver(self, commands: list[Command]) -> None:
         if self.on_commands is not None and not self._closed:
             self._loop.call_soon(self.on_commands, commands)
 
@@ -59,13 +59,13 @@
         own: str,
         host: BrokerHost,
         open_session: SessionOpener,
-        note_retry: Callable[[Code], None],
+        count_retry: Callable[[Code], None],
     ) -> None:
         """Start alone."""
         self._own = own
         self._host = host
         self._open_session = open_session
-        self._note_retry = note_retry
+        self._count_retry = count_retry
         self._loop = asyncio.get_running_loop()
         self._clients: dict[str, BrokerClient] = {}
         self._instances: frozenset[str] = frozenset((own,))
@@ -103,12 +103,12 @@
         """Take the live instances; desks whose broker moved follow it."""
         self._instances = frozenset(names) or frozenset((self._own,))
         for client in self._clients.values():
-            self._follow(client)
+            self._reattach_if_moved(client)
 
     def recheck(self) -> None:
         """Return from a fallback to a broker that is worth trying again."""
         for client in self._clients.values():
-            self._follow(client)
+            self._reattach_if_moved(client)
 
     def _client(self, group: str) -> BrokerClient:
         client = self._clients.get(group)
@@ -117,9 +117,9 @@
             self._clients[group] = client
         return client
 
-    def _follow(self, client: BrokerClient) -> None:
+    def _reattach_if_moved(self, client: BrokerClient) -> None:
         if client.broker and client.broker != self._broker_of(client.group):
-            self._note_retry(Code.retry_broker_changed)
+            self._count_retry(Code.retry_broker_changed)
             self._attach(client)
 
     def _broker_of(self, group: str) -> str:
@@ -143,7 +143,9 @@
             session = self._open_session(
                 broker,
                 client,
-                lambda failed: self._lose(client, broker, failed),
+                lambda failed: self._handle_lost_session(
+                    client, broker, failed
+                ),
             )
         client.attach(session, broker)
 
@@ -152,12 +154,12 @@
         session.on_commands = lambda commands: client.take(session, commands)
         return session
 
-    def _lose(
+    def _handle_lost_session(
         self, client: BrokerClient, broker: str, session: BrokerSession
     ) -> None:
         if client.broker != broker or not client.is_attached_to(session):
             return
         self._log.warn('A broker does not answer.', broker=broker)
-        self._unreachable[broker] = self._loop.time() + UNREACHABLE_S
-        self._note_retry(Code.retry_broker_changed)
+        self._unreachable[broker] = self._loop.time() + UNREACHABLE_TTL_S
+        self._count_retry(Code.retry_broker_changed)
         client.detach()
--- a/src/siskinpass/process/gossip.py
+++ b/src/siskinpass/process/gossip.py
@@ -21,7 +21,7 @@
 
 TICK_S = 0.05
 MAC_BYTES = 16
-DATAGRAM_BYTES_MOST = 1400
+MAX_DATAGRAM_BYTES = 1400
 
 
 class Gossip(asyncio.DatagramProtocol):
@@ -41,7 +41,7 @@
         self._key = key.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
         self._on_change = on_change
         self._loop = asyncio.get_running_loop()
-        self._seen: tuple[Member, ...] = ()
+        self._live: tuple[Member, ...] = ()
         self._log = PartLog('member')
         self.bytes_sent = 0
         self.packets_sent = 0
@@ -91,13 +91,13 @@
         for command in self._membership.apply(event, self._loop.time()):
             self._send(command)
         members = tuple(self._membership.live)
-        if members != self._seen:
-            self._note_states(members)
-            self._seen = members
+        if members != self._live:
+            self._log_changes(members)
+            self._live = members
             self._on_change()
 
-    def _note_states(self, members: tuple[Member, ...]) -> None:
-        before = {member.name for member in self._seen}
+    def _log_changes(self, members: tuple[Member, ...]) -> None:
+        before = {member.name for member in self._live}
         after = {member.name for member in members}
         for joined in sorted(after - before):
             self._log.note('An instance is live.', instance=joined)
--- a/src/siskinpass/process/hosting.py
+++ b/src/siskinpass/process/hosting.py
@@ -21,7 +21,7 @@
 
 TICK_S = 0.05
 SESSION_GRACE_S = 1.0
-UNUSED_KEPT_S = 30.0
+IDLE_BROKER_TTL_S = 30.0
 FALLBACK_PREFIX = 'fallback:'
 
 OnCommands = Callable[[list[Command]], None]
@@ -29,12 +29,12 @@
 
 
 @dataclass(slots=True)
-class _Hosted:
+class _HostedBroker:
     """Hold one broker and the sessions of its entries."""
 
     broker: Broker
     sessions: dict[str, 'EntrySession'] = field(default_factory=dict)
-    used_s: float = 0.0
+    last_used_s: float = 0.0
 
 
 class EntrySession:
@@ -48,18 +48,18 @@
         on_commands: OnCommands,
     ) -> None:
         """Keep where commands go."""
-        self._host = host
+        self._broker_for = host
         self.group = group
         self.entry = entry
         self.on_commands = on_commands
 
-    def tell(self, events: Iterable[Event]) -> None:
+    def apply(self, events: Iterable[Event]) -> None:
         """Tell the broker what happened at the entry."""
-        self._host.take(self, events)
+        self._broker_for.apply_events(self, events)
 
     def close(self) -> None:
         """End the session; its slots are kept for a short grace."""
-        self._host.end(self)
+        self._broker_for.close_session(self)
 
 
 class BrokerHost:
@@ -76,7 +76,7 @@
         """
         self._loop = loop
         self._policy_of = policy_of
-        self._hosted: dict[str, _Hosted] = {}
+        self._hosted: dict[str, _HostedBroker] = {}
         self._servers: dict[str, tuple[ServerView, ...]] = {}
         self._log = PartLog('broker')
 
@@ -92,23 +92,25 @@
         on_commands: OnCommands,
     ) -> EntrySession:
         """Start a session; it replaces an earlier one of the same entry."""
-        hosted = self._host(group)
+        hosted = self._broker_for(group)
         session = EntrySession(self, group, entry, on_commands)
         if entry in hosted.sessions:
             self._apply(hosted, EntryLost(entry))
         hosted.sessions[entry] = session
         return session
 
-    def take(self, session: EntrySession, events: Iterable[Event]) -> None:
+    def apply_events(
+        self, session: EntrySession, events: Iterable[Event]
+    ) -> None:
         """Apply the events of one session."""
         hosted = self._hosted.get(session.group)
         if hosted is None or hosted.sessions.get(session.entry) != session:
             return
         self._apply(hosted, *events)
 
-    def end(self, session: EntrySession) -> None:
+    def close_session(self, session: EntrySession) -> None:
         """End a session after a grace in which a new one may replace it."""
-        self._loop.call_later(SESSION_GRACE_S, self._lose, session)
+        self._loop.call_later(SESSION_GRACE_S, self._expire_session, session)
 
     def remove_entry(self, entry: str) -> None:
         """Void all that a dead entry held."""
@@ -120,7 +122,7 @@
         """Take the backend servers of each group."""
         self._servers = pools
         for group, hosted in self._hosted.items():
-            self._apply(hosted, ServersListed(self._listed(group)))
+            self._apply(hosted, ServersListed(self._servers_of(group)))
 
     async def run(self) -> None:
         """Let time pass for all brokers."""
@@ -130,40 +132,40 @@
                 self._apply(hosted, ClockTicked())
                 self._drop_unused(group, hosted)
 
-    def _host(self, group: str) -> _Hosted:
+    def _broker_for(self, group: str) -> _HostedBroker:
         hosted = self._hosted.get(group)
         if hosted is None:
             self._log.note('Took over a group.', group=group)
-            hosted = _Hosted(Broker(self._policy_of(group)))
+            hosted = _HostedBroker(Broker(self._policy_of(group)))
             self._hosted[group] = hosted
-            self._apply(hosted, ServersListed(self._listed(group)))
-        hosted.used_s = self._loop.time()
+            self._apply(hosted, ServersListed(self._servers_of(group)))
+        hosted.last_used_s = self._loop.time()
         return hosted
 
-    def _listed(self, group: str) -> tuple[ServerView, ...]:
+    def _servers_of(self, group: str) -> tuple[ServerView, ...]:
         return self._servers.get(group.removeprefix(FALLBACK_PREFIX), ())
 
-    def _apply(self, hosted: _Hosted, *events: Event) -> None:
+    def _apply(self, hosted: _HostedBroker, *events: Event) -> None:
         commands = hosted.broker.apply_all(events, self._loop.time())
         if not commands:
             return
         by_entry: dict[str, list[Command]] = {}
         for command in commands:
             by_entry.setdefault(command.entry, []).append(command)
-        for entry, own in by_entry.items():
+        for entry, addressed in by_entry.items():
             session = hosted.sessions.get(entry)
             if session is not None:
-                session.on_commands(own)
+                session.on_commands(addressed)
 
-    def _lose(self, session: EntrySession) -> None:
+    def _expire_session(self, session: EntrySession) -> None:
         hosted = self._hosted.get(session.group)
         if hosted and hosted.sessions.get(session.entry) == session:
             hosted.sessions.pop(session.entry)
             self._apply(hosted, EntryLost(session.entry))
 
-    def _drop_unused(self, group: str, hosted: _Hosted) -> None:
+    def _drop_unused(self, group: str, hosted: _HostedBroker) -> None:
         now_s = self._loop.time()
         if hosted.sessions:
-            hosted.used_s = now_s
-        elif now_s - hosted.used_s > UNUSED_KEPT_S:
+            hosted.last_used_s = now_s
+        elif now_s - hosted.last_used_s > IDLE_BROKER_TTL_S:
             self._hosted.pop(group)
--- a/src/siskinpass/process/lease.py
+++ b/src/siskinpass/process/lease.py
@@ -45,7 +45,7 @@
 
     record: LeaseRecord
     version: int
-    asked_s: float
+    decided_s: float
 
 
 class LeaseLogic:
@@ -61,12 +61,12 @@
         self._margin_s = margin_s
         self._record: LeaseRecord | None = None
         self._version = 0
-        self._seen_s = float('-inf')
-        self._good_until_s = float('-inf')
+        self._changed_s = float('-inf')
+        self._valid_until_s = float('-inf')
 
     def fence(self, now_s: float) -> int | None:
         """Return the fencing number while the lease is held, else none."""
-        if self._record is None or now_s >= self._good_until_s:
+        if self._record is None or now_s >= self._valid_until_s:
             return None
         return self._record.fence
 
@@ -78,9 +78,9 @@
     ) -> None:
         """Take in a reading of the lease object."""
         if version != self._version or self._record is None:
-            self._seen_s = now_s
+            self._changed_s = now_s
         if record is None or record.holder != self._own:
-            self._good_until_s = float('-inf')
+            self._valid_until_s = float('-inf')
         self._record = record
         self._version = version
 
@@ -88,8 +88,8 @@
         """Return the write to try now, or none while another holds it."""
         record = self._record
         if record is None:
-            fresh = LeaseRecord(self._own, 1, self._length_s)
-            return LeaseWrite(fresh, 0, now_s)
+            first = LeaseRecord(self._own, 1, self._length_s)
+            return LeaseWrite(first, 0, now_s)
         if self.fence(now_s) is not None:
             renewed = LeaseRecord(
                 self._own,
@@ -98,17 +98,17 @@
                 record.renewals + 1,
             )
             return LeaseWrite(renewed, self._version, now_s)
-        if now_s - self._seen_s < record.length_s:
+        if now_s - self._changed_s < record.length_s:
             return None
-        taken = LeaseRecord(self._own, record.fence + 1, self._length_s)
-        return LeaseWrite(taken, self._version, now_s)
+        takeover = LeaseRecord(self._own, record.fence + 1, self._length_s)
+        return LeaseWrite(takeover, self._version, now_s)
 
     def write_confirmed(self, write: LeaseWrite, version: int) -> None:
         """Take in that a write was confirmed."""
         self._record = write.record
         self._version = version
-        self._seen_s = write.asked_s
-        self._good_until_s = write.asked_s + self._length_s - self._margin_s
+        self._changed_s = write.decided_s
+        self._valid_until_s = write.decided_s + self._length_s - self._margin_s
 
     def write_failed(self) -> None:
         """Take in that a write failed or has an unknown outcome.
--- a/src/siskinpass/process/membership.py
+++ b/src/siskinpass/process/membership.py
@@ -24,11 +24,11 @@
     :param news: members told of on one packet.
     """
 
-    period_s: float = 0.2
-    ack_s: float = 0.1
-    suspect_s: float = 0.8
-    forget_s: float = 60.0
-    helpers: int = 2
+    probe_interval_s: float = 0.2
+    ack_timeout_s: float = 0.1
+    suspect_timeout_s: float = 0.8
+    forget_after_s: float = 60.0
+    indirect_probes: int = 2
     news: int = 6
 
 
@@ -38,7 +38,7 @@
 DEAD = 3
 
 UPDATE_REPEATS = 8
-JOIN_TARGETS = 3
+MAX_SEED_PINGS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     tree_version: int = 0
 
     @property
-    def age_rank(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """Return what orders two tellings of the same member."""
         return (self.incarnation, self.counter, self.state)
 
@@ -137,7 +137,7 @@
 
     member: Member
     since_s: float
-    repeats: int = UPDATE_REPEATS
+    repeats_left: int = UPDATE_REPEATS
 
 
 class Membership:
@@ -147,21 +147,21 @@
         self,
         own: Member,
         policy: MembershipPolicy,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         """Start with only this instance known."""
         self._own = own
         self._policy = policy
-        self._chance = chance
+        self._rng = rng
         self._entries: dict[str, _Entry] = {}
-        self._round: list[str] = []
+        self._probe_order: list[str] = []
         self._probe: _Probe | None = None
-        self._relayed: dict[int, tuple[str, int]] = {}
+        self._indirect: dict[int, tuple[str, int]] = {}
         self._sequence = 0
         self._next_probe_s = 0.0
         self._seeds: tuple[Member, ...] = ()
         self._now_s = 0.0
-        self._out: list[SendPacket] = []
+        self._outgoing: list[SendPacket] = []
         self._own_repeats = UPDATE_REPEATS
 
     @property
@@ -196,32 +196,32 @@
     ) -> list[SendPacket]:
         """Take in one event and return the packets to send."""
         self._now_s = max(self._now_s, now_s)
-        self._take(event)
-        out, self._out = self._out, []
-        return out
+        self._handle(event)
+        outgoing, self._outgoing = self._outgoing, []
+        return outgoing
 
     @singledispatchmethod
-    def _take(self, event: object) -> None:
+    def _handle(self, event: object) -> None:
         raise TypeError(event)
 
-    @_take.register
-    def _arrive(self, event: PacketArrived) -> None:
+    @_handle.register
+    def _handle_packet(self, event: PacketArrived) -> None:
         packet = event.packet
-        self._learn((packet.sender, *packet.news))
+        self._merge_all((packet.sender, *packet.news))
         if packet.kind == 'ping':
             self._send(packet.sender, 'ack', packet.sequence)
         elif packet.kind == 'ask':
-            self._probe_for(packet)
+            self._probe_on_request(packet)
         else:
-            self._take_ack(packet)
+            self._handle_ack(packet)
 
-    @_take.register
-    def _list(self, event: SeedsListed) -> None:
+    @_handle.register
+    def _handle_seeds(self, event: SeedsListed) -> None:
         own = self._own.name
         self._seeds = tuple(seed for seed in event.members if seed.name != own)
 
-    @_take.register
-    def _change(self, event: OwnStateChanged) -> None:
+    @_handle.register
+    def _handle_own_change(self, event: OwnStateChanged) -> None:
         self._own = replace(
             self._own,
             counter=self._own.counter + 1,
@@ -233,50 +233,50 @@
                 if entry.member.state != DEAD:
                     self._send(entry.member, 'ping', 0)
 
-    @_take.register
-    def _pass_time(self, event: TimePassed) -> None:
-        self._age_members()
-        self._ask_helpers()
+    @_handle.register
+    def _handle_tick(self, event: TimePassed) -> None:
+        self._expire_members()
+        self._request_indirect_probes()
         if self._now_s >= self._next_probe_s:
-            self._close_probe()
-            self._next_probe_s = self._now_s + self._policy.period_s
-            self._join()
+            self._finish_probe()
+            self._next_probe_s = self._now_s + self._policy.probe_interval_s
+            self._ping_missing_seeds()
             self._start_probe()
 
-    def _learn(self, told: Iterable[Member]) -> None:
-        for member in told:
+    def _merge_all(self, reports: Iterable[Member]) -> None:
+        for member in reports:
             if member.name == self._own.name:
                 self._refute(member)
             else:
-                self._learn_one(member)
+                self._merge(member)
 
-    def _learn_one(self, member: Member) -> None:
+    def _merge(self, member: Member) -> None:
         known = self._entries.get(member.name)
         if known is None:
             if member.state != DEAD:
                 self._entries[member.name] = _Entry(member, self._now_s)
             return
-        if member.age_rank > known.member.age_rank:
+        if member.precedence > known.member.precedence:
             if member.state == known.member.state:
                 known.member = member
-                known.repeats = UPDATE_REPEATS
+                known.repeats_left = UPDATE_REPEATS
             else:
                 self._entries[member.name] = _Entry(member, self._now_s)
 
-    def _refute(self, told: Member) -> None:
-        same = told.incarnation == self._own.incarnation
-        wrong = told.state in {SUSPECT, DEAD}
-        if same and wrong and told.counter >= self._own.counter:
-            self._own = replace(self._own, counter=told.counter + 1)
+    def _refute(self, reports: Member) -> None:
+        same = reports.incarnation == self._own.incarnation
+        wrong = reports.state in {SUSPECT, DEAD}
+        if same and wrong and reports.counter >= self._own.counter:
+            self._own = replace(self._own, counter=reports.counter + 1)
 
-    def _age_members(self) -> None:
+    def _expire_members(self) -> None:
         policy = self._policy
         for name, entry in tuple(self._entries.items()):
             age_s = self._now_s - entry.since_s
             state = entry.member.state
-            if state == SUSPECT and age_s >= policy.suspect_s:
+            if state == SUSPECT and age_s >= policy.suspect_timeout_s:
                 self._set_state(name, DEAD)
-            elif state == DEAD and age_s >= policy.forget_s:
+            elif state == DEAD and age_s >= policy.forget_after_s:
                 self._entries.pop(name)
 
     def _set_state(self, name: str, state: int) -> None:
@@ -284,11 +284,11 @@
         member = replace(entry.member, state=state)
         self._entries[name] = _Entry(member, self._now_s)
 
-    def _ask_helpers(self) -> None:
+    def _request_indirect_probes(self) -> None:
         probe = self._probe
         if probe is None or probe.answered or probe.asked:
             return
-        if self._now_s - probe.sent_s < self._policy.ack_s:
+        if self._now_s - probe.sent_s < self._policy.ack_timeout_s:
             return
         probe.asked = True
         others = [
@@ -296,11 +296,11 @@
             for name, entry in self._entries.items()
             if name != probe.target and entry.member.state in {ALIVE, LEAVING}
         ]
-        count = min(self._policy.helpers, len(others))
-        for helper in self._chance.sample(others, count):
+        count = min(self._policy.indirect_probes, len(others))
+        for helper in self._rng.sample(others, count):
             self._send(helper, 'ask', probe.sequence, probe.target)
 
-    def _close_probe(self) -> None:
+    def _finish_probe(self) -> None:
         probe, self._probe = self._probe, None
         if probe is None or probe.answered:
             return
@@ -320,48 +320,48 @@
 
     def _next_target(self) -> Member | None:
         while True:
-            if not self._round:
-                self._round = [
+            if not self._probe_order:
+                self._probe_order = [
                     name
                     for name, entry in self._entries.items()
                     if entry.member.state != DEAD
                 ]
-                self._chance.shuffle(self._round)
-            if not self._round:
+                self._rng.shuffle(self._probe_order)
+            if not self._probe_order:
                 return None
-            entry = self._entries.get(self._round.pop())
+            entry = self._entries.get(self._probe_order.pop())
             if entry is not None and entry.member.state != DEAD:
                 return entry.member
 
-    def _join(self) -> None:
+    def _ping_missing_seeds(self) -> None:
         """Greet listed instances that are not known to live."""
-        strangers = [
+        missing = [
             seed
             for seed in self._seeds
             if seed.name not in self._entries
             or self._entries[seed.name].member.state == DEAD
         ]
-        count = min(JOIN_TARGETS, len(strangers))
-        for seed in self._chance.sample(strangers, count):
+        count = min(MAX_SEED_PINGS, len(missing))
+        for seed in self._rng.sample(missing, count):
             self._send(seed, 'ping', 0)
 
-    def _probe_for(self, packet: Packet) -> None:
+    def _probe_on_request(self, packet: Packet) -> None:
         entry = self._entries.get(packet.target)
         if entry is None:
             return
         self._sequence += 1
-        if len(self._relayed) > 100:
-            self._relayed.clear()
-        self._relayed[self._sequence] = (packet.sender.name, packet.sequence)
+        if len(self._indirect) > 100:
+            self._indirect.clear()
+        self._indirect[self._sequence] = (packet.sender.name, packet.sequence)
         self._send(entry.member, 'ping', self._sequence)
 
-    def _take_ack(self, packet: Packet) -> None:
-        relay = self._relayed.pop(packet.sequence, None)
-        if relay is not None:
-            asker = self._entries.get(relay[0])
-            if asker is not None:
-                speaks_for = packet.sender.name
-                self._send(asker.member, 'ack', relay[1], speaks_for)
+    def _handle_ack(self, packet: Packet) -> None:
+        request = self._indirect.pop(packet.sequence, None)
+        if request is not None:
+            requester = self._entries.get(request[0])
+            if requester is not None:
+                subject = packet.sender.name
+                self._send(requester.member, 'ack', request[1], subject)
             return
         probe = self._probe
         if probe and probe.sequence == packet.sequence:
@@ -375,23 +375,29 @@
         sequence: int,
         target: str = '',
     ) -> None:
-        packet = Packet(kind, self._own, sequence, self._news(receiver), target)
-        self._out.append(SendPacket(receiver.peer_address, packet))
+        packet = Packet(
+            kind, self._own, sequence, self._select_news(receiver), target
+        )
+        self._outgoing.append(SendPacket(receiver.peer_address, packet))
 
-    def _news(self, receiver: Member) -> tuple[Member, ...]:
+    def _select_news(self, receiver: Member) -> tuple[Member, ...]:
         """Return the least often repeated news, and the receiver's own state.
 
         A suspect has to hear of its suspicion in order to refute it.
         """
-        fresh = sorted(
-            (entry for entry in self._entries.values() if entry.repeats > 0),
-            key=lambda entry: entry.repeats,
+        selected = sorted(
+            (
+                entry
+                for entry in self._entries.values()
+                if entry.repeats_left > 0
+            ),
+            key=lambda entry: entry.repeats_left,
             reverse=True,
         )[: self._policy.news]
-        for entry in fresh:
-            entry.repeats -= 1
-        told = [entry.member for entry in fresh]
+        for entry in selected:
+            entry.repeats_left -= 1
+        reports = [entry.member for entry in selected]
         known = self._entries.get(receiver.name)
         if known and known.member.state in {SUSPECT, DEAD}:
-            told.append(known.member)
-        return tuple(told)
+            reports.append(known.member)
+        return tuple(reports)
--- a/src/siskinpass/process/peer_server.py
+++ b/src/siskinpass/process/peer_server.py
@@ -17,7 +17,7 @@
 from siskinpass.process.session_wire import STREAM_ERRORS, Outbox
 from siskinpass.request.ticket import Command
 
-ENTRY_SILENT_S = 2.0
+ENTRY_TIMEOUT_S = 2.0
 
 
 class PeerState(Protocol):
@@ -89,19 +89,19 @@
         while batch is not None:
             now_s = loop.time()
             outbox.heard = batch.sequence
-            session.tell([
+            session.apply([
                 decode_event(message, session.entry, now_s)
                 for message in batch.messages
             ])
             with suppress(TimeoutError):
-                async with asyncio.timeout(ENTRY_SILENT_S):
+                async with asyncio.timeout(ENTRY_TIMEOUT_S):
                     batch = await stream.recv_message()
                     continue
             return
 
     def _check_key(self, stream: Stream) -> None:
-        told = str(stream.metadata.get(KEY_HEADER, ''))
-        if not hmac.compare_digest(told.encode(), self._key.encode()):
+        presented = str(stream.metadata.get(KEY_HEADER, ''))
+        if not hmac.compare_digest(presented.encode(), self._key.encode()):
             raise GRPCError(Status.UNAUTHENTICATED, 'wrong peer key')
 
 
--- a/src/siskinpass/process/peers.py
+++ b/src/siskinpass/process/peers.py
@@ -70,7 +70,7 @@
         channel = self._channels.get(name)
         if channel is None:
             host, port = self._addresses[name].rsplit(':', 1)
-            channel = _KeyedChannel(
+            channel = _AuthenticatedChannel(
                 host,
                 int(port),
                 ssl=self._security.client,
@@ -92,7 +92,7 @@
             self.drop(name)
 
 
-class _KeyedChannel(Channel):
+class _AuthenticatedChannel(Channel):
     """Show the peer key on every call, from this instance's own address."""
 
     key = ''
@@ -111,5 +111,5 @@
 
     def request(self, *args, metadata=None, **kwargs):
         """Open a call with the key among its metadata."""
-        keyed = (*(metadata or ()), (KEY_HEADER, self.key))
-        return super().request(*args, metadata=keyed, **kwargs)
+        with_key = (*(metadata or ()), (KEY_HEADER, self.key))
+        return super().request(*args, metadata=with_key, **kwargs)
--- a/src/siskinpass/process/remote_session.py
+++ b/src/siskinpass/process/remote_session.py
@@ -17,7 +17,7 @@
 from siskinpass.process.session_wire import STREAM_ERRORS, Outbox
 from siskinpass.request.ticket import Event
 
-SILENT_S = 0.45
+SILENCE_TIMEOUT_S = 0.45
 
 
 class RemoteSession:
@@ -36,7 +36,7 @@
         self._broker_client = broker_client
         self._on_lost = on_lost
         self._outbox = Outbox()
-        self._unheard: deque[tuple[int, float]] = deque()
+        self._unacknowledged: deque[tuple[int, float]] = deque()
         self._task = asyncio.ensure_future(self._run())
 
     def send(self, events: list[Event]) -> None:
@@ -65,7 +65,7 @@
             for sequence in itertools.count(1):
                 events = await self._outbox.take()
                 now_s = loop.time()
-                self._unheard.append((sequence, now_s))
+                self._unacknowledged.append((sequence, now_s))
                 await stream.send_message(
                     pb.EntryBatch(
                         entry=self._own,
@@ -79,9 +79,9 @@
 
     async def _receive(self, stream) -> None:
         while True:
-            async with asyncio.timeout(SILENT_S):
+            async with asyncio.timeout(SILENCE_TIMEOUT_S):
                 batch = await stream.recv_message()
-            if batch is None or not self._is_heard(batch.heard):
+            if batch is None or not self._handle_acknowledgement(batch.heard):
                 return
             if batch.messages:
                 self._broker_client.take(
@@ -92,15 +92,17 @@
                     ],
                 )
 
-    def _is_heard(self, sequence: int) -> bool:
+    def _handle_acknowledgement(self, sequence: int) -> bool:
         """Tell whether the broker still hears this entry.
 
         A connection can go silent one way; what the broker sends proves
         nothing of what it receives.
         """
-        while self._unheard and self._unheard[0][0] <= sequence:
-            self._unheard.popleft()
-        if not self._unheard:
+        while self._unacknowledged and self._unacknowledged[0][0] <= sequence:
+            self._unacknowledged.popleft()
+        if not self._unacknowledged:
             return True
-        waited_s = asyncio.get_running_loop().time() - self._unheard[0][1]
-        return waited_s < SILENT_S
+        waited_s = (
+            asyncio.get_running_loop().time() - self._unacknowledged[0][1]
+        )
+        return waited_s < SILENCE_TIMEOUT_S
--- a/src/siskinpass/process/store.py
+++ b/src/siskinpass/process/store.py
@@ -29,7 +29,7 @@
 CONNECT_TIMEOUT_S = 0.5
 READ_TIMEOUT_S = 2.0
 WATCH_MARGIN_S = 2.0
-MOST_OPEN_CALLS = 64
+MAX_OPEN_CALLS = 64
 
 STATUS_OK = 200
 STATUS_NO_CONTENT = 204
@@ -55,7 +55,7 @@
     def __init__(
         self,
         base_url: str,
-        note_call: Callable[[str], None],
+        on_call: Callable[[str], None],
     ) -> None:
         """Prepare connections; none is opened yet.
 
@@ -63,7 +63,7 @@
         :param note_call: told the kind of each call.
         """
         self._base_url = base_url
-        self._note_call = note_call
+        self._on_call = on_call
         self._open_calls = 0
         self._http = urllib3.PoolManager(maxsize=THREADS, retries=False)
         self._threads = ThreadPoolExecutor(
@@ -108,7 +108,7 @@
 
     async def list_keys(self, prefix: str) -> list[str]:
         """Return the keys that begin with a prefix."""
-        listed = await self._call('read', self._names, prefix)
+        listed = await self._call('read', self._list_keys, prefix)
         return sorted(listed)
 
     def close(self) -> None:
@@ -133,9 +133,9 @@
         )
 
     async def _call(self, kind: str, function: Callable, *args: object):
-        if self._open_calls >= MOST_OPEN_CALLS:
+        if self._open_calls >= MAX_OPEN_CALLS:
             raise StoreError(Code.store_down, 'too many open store calls')
-        self._note_call(kind)
+        self._on_call(kind)
         self._open_calls += 1
         loop = asyncio.get_running_loop()
         try:
@@ -155,7 +155,7 @@
             raise StoreError(Code.store_down, f'status {answer.status}')
         return StoredObject(int(answer.headers['ETag']), answer.data)
 
-    def _names(self, prefix: str) -> list[str]:
+    def _list_keys(self, prefix: str) -> list[str]:
         url = f'{self._base_url}/objects/?prefix={prefix}'
         with _read_errors():
             answer = self._http.request(
--- a/src/siskinpass/process/store_lease.py
+++ b/src/siskinpass/process/store_lease.py
@@ -8,9 +8,9 @@
 from siskinpass.process.store import Store
 
 STATUS_LEASE_KEY = 'leases/status'
-LEASE_S = 6.0
+LEASE_LENGTH_S = 6.0
 MARGIN_S = 1.5
-LEASE_EVERY_S = 2.0
+RENEWAL_INTERVAL_S = 2.0
 
 
 class StoreLease:
@@ -20,7 +20,7 @@
         """Start without the lease."""
         self._store = store
         self._key = key
-        self._logic = LeaseLogic(own, LEASE_S, MARGIN_S)
+        self._logic = LeaseLogic(own, LEASE_LENGTH_S, MARGIN_S)
         self._loop = asyncio.get_running_loop()
         self._log = PartLog('lease')
 
@@ -36,11 +36,11 @@
                 await self._step()
             except StoreError:
                 self._logic.write_failed()
-            await asyncio.sleep(LEASE_EVERY_S)
+            await asyncio.sleep(RENEWAL_INTERVAL_S)
 
     async def _step(self) -> None:
-        held = self.fence is not None
-        if not held:
+        was_held = self.fence is not None
+        if not was_held:
             stored = await self._store.read(self._key)
             record = LeaseRecord.load(stored.body) if stored else None
             version = stored.version if stored else 0
@@ -58,5 +58,5 @@
                 write.version,
             )
         self._logic.write_confirmed(write, version)
-        if not held:
+        if not was_held:
             self._log.note('Took a lease.', fence=write.record.fence)
--- a/src/siskinpass/process/treewatch.py
+++ b/src/siskinpass/process/treewatch.py
@@ -18,10 +18,10 @@
 from siskinpass.version.repository import TreeRepository, load_version
 from siskinpass.version.tree_version import CurrentVersion, TreeVersion
 
-WATCHERS = 2
-WATCH_S = 10.0
+WATCHER_COUNT = 2
+WATCH_TIMEOUT_S = 10.0
 RETRY_S = 0.5
-IDLE_S = 0.5
+WATCHER_CHECK_S = 0.5
 PEER_ERRORS = (
     GRPCError,
     StreamTerminatedError,
@@ -46,26 +46,28 @@
         self._repository = repository
         self._links = links
         self._on_version = on_version
-        self._book = CurrentVersion()
+        self._version = CurrentVersion()
         self._members: tuple[Member, ...] = ()
-        self._told = asyncio.Event()
+        self._newer_announced = asyncio.Event()
         self._stored_version = 0
         self._log = PartLog('tree')
 
     @property
     def book(self) -> CurrentVersion:
         """Return the version in force."""
-        return self._book
+        return self._version
 
     def update_members(self, members: tuple[Member, ...]) -> None:
         """Take the live members and the versions that they told of."""
         self._members = members
-        if any(member.tree_version > self._book.number for member in members):
-            self._told.set()
+        if any(
+            member.tree_version > self._version.number for member in members
+        ):
+            self._newer_announced.set()
 
     def adopt_if_newer(self, version: TreeVersion) -> None:
         """Put a version in force if it is higher."""
-        if self._book.adopt_if_newer(version):
+        if self._version.adopt_if_newer(version):
             self._log.note('A version is in force.', number=version.number)
             self._on_version(version)
 
@@ -75,8 +77,8 @@
 
     async def _follow_store(self) -> None:
         while True:
-            if not (self._is_watcher() or self._book.current is None):
-                await asyncio.sleep(IDLE_S)
+            if not (self._is_watcher() or self._version.current is None):
+                await asyncio.sleep(WATCHER_CHECK_S)
                 continue
             try:
                 await self._read_store()
@@ -87,9 +89,9 @@
                 await asyncio.sleep(RETRY_S)
 
     async def _read_store(self) -> None:
-        if self._book.current is None:
+        if self._version.current is None:
             self._stored_version = 0
-        wait_s = WATCH_S if self._is_watcher() else 0.1
+        wait_s = WATCH_TIMEOUT_S if self._is_watcher() else 0.1
         stored = await self._repository.watch(self._stored_version, wait_s)
         if stored is None:
             await asyncio.sleep(RETRY_S)
@@ -103,17 +105,17 @@
 
     async def _follow_peers(self) -> None:
         while True:
-            await self._told.wait()
-            self._told.clear()
-            for member in self._ahead():
+            await self._newer_announced.wait()
+            self._newer_announced.clear()
+            for member in self._members_ahead():
                 if await self._read_peer(member):
                     break
-            if self._ahead():
+            if self._members_ahead():
                 await asyncio.sleep(RETRY_S)
-                self._told.set()
+                self._newer_announced.set()
 
-    def _ahead(self) -> list[Member]:
-        number = self._book.number
+    def _members_ahead(self) -> list[Member]:
+        number = self._version.number
         return [
             member
             for member in self._members
@@ -121,14 +123,14 @@
         ]
 
     async def _read_peer(self, member: Member) -> bool:
-        request = pb.TreeRequest(newer_than=self._book.number)
+        request = pb.TreeRequest(newer_than=self._version.number)
         try:
             stub = self._links.stub(member.name)
             reply = await stub.ReadTree(request, timeout=CALL_TIMEOUT_S)
         except PEER_ERRORS:
             self._links.drop(member.name)
             return False
-        if reply.version <= self._book.number:
+        if reply.version <= self._version.number:
             return False
         try:
             version = load_version(reply.version, reply.text)
@@ -140,4 +142,4 @@
 
     def _is_watcher(self) -> bool:
         names = {member.name for member in self._members} | {self._own}
-        return self._own in rank('tree', names)[:WATCHERS]
+        return self._own in rank('tree', names)[:WATCHER_COUNT]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -45,8 +45,8 @@
         self.incarnation += 1
         self.stopped.discard(name)
         own = Member(name, name, incarnation=self.incarnation)
-        chance = random.Random(self.seed * 1000 + self.incarnation)
-        self.members[name] = Membership(own, MembershipPolicy(), chance)
+        rng = random.Random(self.seed * 1000 + self.incarnation)
+        self.members[name] = Membership(own, MembershipPolicy(), rng)
         seeds = tuple(Member(other, other) for other in self.names)
         self.members[name].apply(SeedsListed(seeds), self.now_s)
 
