--- a/src/siskinpass/process/broker_client.py
+++ b/src/siskinpass/process/broker_client.py
@@ -1,7 +1,7 @@
 """Hold the waiting and granted tickets of this entry instance for one group.
 
-The client is connected to one broker at a time through a port. When the broker
-moves or stops responding, the client sends all tickets and grants to the next.
+The client has a session with one broker at a time. When the broker moves or
+stops responding, the client sends all tickets and grants to the next.
 """
 
 from collections.abc import Callable
@@ -68,9 +68,9 @@
     def __init__(
         self, group: str, on_session_needed: Callable[['BrokerClient'], None]
     ) -> None:
-        """Start without a port.
+        """Start without a session.
 
-        :param on_port_needed: called when an event is due and no port is
+        :param on_session_needed: called when an event is due and no session is
             attached; it should call :meth:`attach`, which sends the current
             state in place of the event.
         """
@@ -112,19 +112,19 @@
             self._send(GrantReleased(ticket_id, failed))
 
     def observe(self, observed: TokensObserved) -> None:
-        """Report the speed of a server, or drop it if no port is attached."""
+        """Report the speed of a server; dropped if no session is attached."""
         if self._session is not None:
             self._session.send([observed])
 
     def is_attached_to(self, session: BrokerSession) -> bool:
-        """Return whether a port is the one in use."""
+        """Return whether a session is the one in use."""
         return session is self._session
 
     def attach(self, session: BrokerSession, broker: str) -> None:
         """Switch to a new broker and send it all tickets and grants.
 
-        :param port: replaces the current port, which is closed.
-        :param broker: name of the broker that the port leads to.
+        :param session: replaces the current session, which is closed.
+        :param broker: name of the broker at the other end.
         """
         if self._session is not None:
             self._session.close()
@@ -139,7 +139,7 @@
         session.send(events)
 
     def detach(self) -> None:
-        """Close the port.
+        """Close the session.
 
         A new one is requested at once if there are tickets, else when the next
         event is due.
@@ -152,7 +152,7 @@
             self._on_session_needed(self)
 
     def take(self, session: BrokerSession, commands: list[Command]) -> None:
-        """Handle commands of the broker; those of an old port are ignored."""
+        """Handle the broker's commands; those of an old session are ignored."""
         if session is not self._session:
             return
         for command in commands:
--- a/src/siskinpass/process/claims.py
+++ b/src/siskinpass/process/claims.py
@@ -1,4 +1,4 @@
-"""Claim requests that must run at most once, in the object store."""
+"""Claims in the object store, so that a request runs at most once per key."""
 
 import asyncio
 import hashlib
@@ -42,7 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldClaim:
-    """Hold a claim that this request may run under."""
+    """A claim that allows its request to run.
+
+    :param key: key of the claim object in the store.
+    :param version: store's version of the object, 0 where unknown.
+    """
 
     key: str
     claim: Claim
@@ -51,29 +55,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """Hold the stored answer of an earlier request with the same key."""
+    """Stored response of an earlier request with the same idempotency key."""
 
     status: int
     body: bytes
 
 
 class Lease(Protocol):
-    """Tell whether a lease is held."""
+    """A lease that this instance may hold."""
 
     @property
     def fence(self) -> int | None:
-        """Return the fencing number while the lease is held."""
+        """Return the fencing number, or None if the lease is not held."""
 
 
 class Claims:
-    """Make claims, settle them, and collect the expired ones."""
+    """Acquires and settles claims, and deletes expired ones."""
 
     def __init__(
         self,
         store: Store,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        """Start with nothing to settle."""
+        """Start without claims.
+
+        :param wall_clock: returns Unix time in seconds, as claims are read by
+            other instances.
+        """
         self._store = store
         self._wall_clock = wall_clock
         self._unsettled: deque[HeldClaim] = deque(maxlen=MAX_UNSETTLED)
@@ -81,14 +89,17 @@
 
     @property
     def unsettled(self) -> int:
-        """Return how many outcomes still have to be written."""
+        """Return the number of outcomes that are still to be written."""
         return len(self._unsettled)
 
     async def acquire(self, call: Call) -> HeldClaim | Replay:
-        """Claim a call by its key, or return the answer it already had.
+        """Claim a call by its idempotency key.
 
-        :raises RefusedError: where the store does not answer; nothing ran.
-        :raises RequestError: where the key is taken, with the code why.
+        :returns: the claim under which the call may run, or the stored response
+            if it already ran.
+        :raises RefusedError: if the store is unreachable; the call did not run.
+        :raises RequestError: if another request has claimed the key; its code
+            gives the reason.
         """
         key = claim_key(call)
         claim = Claim(
@@ -114,7 +125,14 @@
         status: int = 0,
         body: bytes = b'',
     ) -> None:
-        """Write how a claimed request ended; a failed write is repeated."""
+        """Write the outcome of a claimed request.
+
+        A failed write is retried in the background.
+
+        :param status: HTTP status of the response, 0 for none.
+        :param body: body of the response; one above the limit is not stored,
+            and neither is its status.
+        """
         if len(body) > MAX_STORED_BODY_BYTES:
             status, body = 0, b''
         settled = replace(
@@ -126,7 +144,7 @@
         await self._write_or_queue(replace(held, claim=settled))
 
     async def run(self) -> None:
-        """Repeat the writes that failed."""
+        """Retry failed writes until cancelled."""
         while True:
             await asyncio.sleep(WRITE_RETRY_S)
             waiting = tuple(self._unsettled)
@@ -135,17 +153,17 @@
                 await self._write_or_queue(held)
 
     async def run_expiry(self, lease: Lease) -> None:
-        """Collect expired claims while a lease is held."""
+        """Delete expired claims periodically, only while the lease is held."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             if lease.fence is None:
                 continue
             with suppress(StoreError):
                 removed = await self.delete_expired()
-                self._log.note('Collected expired claims.', removed=removed)
+                self._log.note('Deleted expired claims.', removed=removed)
 
     async def delete_expired(self) -> int:
-        """Remove expired claims and return how many there were."""
+        """Delete expired claims and return their number."""
         removed = 0
         for key in await self._store.list_keys(PREFIX):
             stored = await self._store.read(key)
@@ -169,7 +187,9 @@
     ) -> HeldClaim | Replay:
         stored = await self._store.read(key)
         if stored is None:
-            raise StoreUnconfirmedError(Code.edit_unconfirmed, 'claim is gone')
+            raise StoreUnconfirmedError(
+                Code.edit_unconfirmed, 'claim not found'
+            )
         found = Claim.load(stored.body)
         age_s = self._wall_clock() - found.written_s
         decision = decide_claim(
@@ -199,12 +219,18 @@
         try:
             await self._write(held)
         except StoreConflictError:
-            self._log.warn('A claim changed under its holder.', key=held.key)
+            self._log.warn(
+                'A claim changed before its outcome was written.', key=held.key
+            )
         except StoreError:
             self._queue_write(held)
 
     async def _write(self, held: HeldClaim) -> None:
-        """Write an outcome; find one's own claim by its nonce if need be."""
+        """Write an outcome.
+
+        If the version is unknown, the stored claim is replaced only if it has
+        the nonce of this claim.
+        """
         version = held.version
         if not version:
             stored = await self._store.read(held.key)
@@ -216,8 +242,8 @@
         await self._store.replace(held.key, held.claim.dump(), version)
 
     def _queue_write(self, held: HeldClaim) -> None:
-        # A write whose confirmation was lost has changed the version, so the
-        # repeat looks for the claim by its nonce.
+        # An unconfirmed write may have changed the version, so the retry
+        # identifies the claim by its nonce.
         claim = held.claim
         if claim.state is ClaimState.open:
             claim = replace(claim, state=ClaimState.not_run)
@@ -225,7 +251,10 @@
 
 
 def claim_key(call: Call) -> str:
-    """Return the object that holds the claim of a call's key."""
+    """Return the key of the claim object for a call.
+
+    It is a hash of the workspace and the call's idempotency key.
+    """
     text = f'{call.workspace}\n{call.idempotency_key}'
     digest = hashlib.blake2b(
         text.encode(), digest_size=DIGEST_BYTES
--- a/src/siskinpass/process/codec.py
+++ b/src/siskinpass/process/codec.py
@@ -1,4 +1,4 @@
-"""Turn the logic's events and commands into peer messages and back."""
+"""Convert events, commands and heartbeats to protobuf messages and back."""
 
 from functools import singledispatch
 
@@ -25,9 +25,9 @@
 
 @singledispatch
 def encode_event(event: Event, now_s: float) -> pb.EntryMessage:
-    """Encode what an entry tells a broker.
+    """Encode an event that an entry instance sends to a broker.
 
-    :param now_s: the sender's clock, from which ages are taken.
+    :param now_s: the sender's clock, for converting times to ages.
     """
     raise TypeError(event)
 
@@ -76,10 +76,10 @@
     entry: str,
     now_s: float,
 ) -> Event:
-    """Decode what an entry tells a broker.
+    """Decode an event that an entry instance sent to a broker.
 
     :param entry: name of the entry instance.
-    :param now_s: the receiver's clock, to which ages are added.
+    :param now_s: the receiver's clock, for converting ages to times.
     """
     kind = message.WhichOneof('kind')
     if kind == 'open':
@@ -102,7 +102,7 @@
 
 @singledispatch
 def encode_command(command: Command) -> pb.BrokerMessage:
-    """Encode what a broker tells an entry."""
+    """Encode a command that a broker sends to an entry instance."""
     raise TypeError(command)
 
 
@@ -136,7 +136,10 @@
 
 
 def decode_command(message: pb.BrokerMessage, entry: str) -> Command:
-    """Decode what a broker tells an entry."""
+    """Decode a command that a broker sent to an entry instance.
+
+    :param entry: name of the entry instance.
+    """
     kind = message.WhichOneof('kind')
     if kind == 'granted':
         granted = message.granted
@@ -155,7 +158,7 @@
 
 
 def encode_packet(packet: Packet) -> bytes:
-    """Encode one heartbeat."""
+    """Encode one heartbeat, without its keyed hash."""
     message = pb.PacketMessage(
         kind=packet.kind,
         sender=_encode_member(packet.sender),
@@ -167,9 +170,9 @@
 
 
 def decode_packet(datagram: bytes) -> Packet:
-    """Decode one heartbeat.
+    """Decode one heartbeat, without its keyed hash.
 
-    :raises google.protobuf.message.DecodeError: where it is malformed.
+    :raises google.protobuf.message.DecodeError: if it is malformed.
     """
     message = pb.PacketMessage.FromString(datagram)
     return Packet(
--- a/src/siskinpass/process/counts.py
+++ b/src/siskinpass/process/counts.py
@@ -1,6 +1,6 @@
-"""Count outcomes per second and node of the tree.
+"""Count request outcomes per second and node of the settings tree.
 
-Pure logic. The counts of several instances are merged by adding them up.
+Pure logic without I/O. Counts of several instances are merged by addition.
 """
 
 from bisect import bisect_left
@@ -37,13 +37,15 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Add up outcomes.
-
-    :param total: requests that ended, answered or refused.
-    :param missed: those that missed a target of their class.
-    :param refused: those that were refused.
-    :param slow_backend: those that missed though they did not wait.
-    :param firsts: requests by the bucket of their first-token time.
+    """Counts of request outcomes.
+
+    :param total: completed or refused requests.
+    :param missed: requests that missed a latency target of their class.
+    :param refused: refused requests.
+    :param slow_backend: requests that missed a target although less than half
+        of their time to first token was spent waiting for a slot.
+    :param first_token_buckets: requests by time to first token; a key is an
+        index into ``FIRST_TOKEN_BOUNDS_MS``, or its length for longer times.
     """
 
     total: int = 0
@@ -53,7 +55,7 @@
     first_token_buckets: Counter[int] = field(default_factory=Counter)
 
     def add(self, other: 'Tally') -> None:
-        """Add another tally to this one."""
+        """Add another tally to this one in place."""
         self.total += other.total
         self.missed += other.missed
         self.refused += other.refused
@@ -61,7 +63,12 @@
         self.first_token_buckets.update(other.first_token_buckets)
 
     def first_ms(self, fraction: float) -> int:
-        """Return the bound of the bucket that holds a quantile, in ms."""
+        """Return a quantile of the time to first token in ms.
+
+        :param fraction: the quantile, from 0 to 1.
+        :returns: the upper bound of its bucket, the highest bound for longer
+            times, 0 if nothing was measured.
+        """
         target = fraction * self.first_token_buckets.total()
         seen = 0
         for bucket in sorted(self.first_token_buckets):
@@ -74,11 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Describe how one request ended.
+    """Outcome of one request.
 
-    :param first_ms: arrival to first token, 0 where none was passed on.
-    :param met: whether all targets of its class were met.
-    :param waited_ms: part of it that was spent waiting for a slot.
+    :param node: path of its class in the settings tree.
+    :param met: whether all latency targets of its class were met.
+    :param first_ms: time from arrival to first token, 0 if no token was sent.
+    :param waited_ms: part of ``first_ms`` that was spent waiting for a slot.
     """
 
     node: str
@@ -89,14 +97,18 @@
 
 
 class TallyHistory:
-    """Keep the tallies of the last seconds."""
+    """Tallies of the last ``RETENTION_S`` seconds, by second and node."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._seconds: dict[int, dict[str, Tally]] = {}
 
     def note(self, outcome: Outcome, now_s: float) -> None:
-        """Count one outcome."""
+        """Count one outcome.
+
+        Outcomes of new nodes are dropped beyond ``MAX_NODES`` in a second.
+
+        :param now_s: clock in seconds, from which the second is taken.
+        """
         tallies = self._tallies_of(int(now_s))
         if outcome.node not in tallies and len(tallies) >= MAX_NODES:
             return
@@ -111,11 +123,11 @@
             tally.first_token_buckets[bucket] += 1
 
     def add(self, second: int, node: str, tally: Tally) -> None:
-        """Add the tally of another instance."""
+        """Add the tally of another instance to a second."""
         self._tallies_of(second).setdefault(node, Tally()).add(tally)
 
     def after(self, second: int) -> Iterable[tuple[int, str, Tally]]:
-        """Return the tallies of the seconds after one."""
+        """Return second, node and tally for all seconds after a given one."""
         return [
             (at, node, tally)
             for at, tallies in self._seconds.items()
@@ -124,13 +136,16 @@
         ]
 
     def nodes(self) -> set[str]:
-        """Return the nodes that were counted."""
+        """Return the nodes that have a tally in any second."""
         return {node for tallies in self._seconds.values() for node in tallies}
 
     def window(self, node: str, last: int, seconds: int) -> list[Tally]:
-        """Return one tally for each second of a window, empty ones too.
+        """Return one tally for each second of a window, the oldest first.
+
+        Seconds without outcomes have an empty tally.
 
         :param last: last second of the window.
+        :param seconds: length of the window.
         """
         return [
             self._seconds.get(second, {}).get(node, Tally())
--- a/src/siskinpass/process/discovery.py
+++ b/src/siskinpass/process/discovery.py
@@ -1,6 +1,6 @@
-"""Read the platform's lagging list of instances.
+"""Service discovery: read the platform's list of instances.
 
-The only module that knows the list's dialect.
+The list lags behind the actual state. Only this module knows its format.
 """
 
 import asyncio
@@ -25,7 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryView:
-    """Describe an entry instance as the list tells it."""
+    """One entry instance as listed by the platform.
+
+    :param peer_address: ``ip:port`` for other instances.
+    :param caller_address: ``ip:port`` for callers.
+    :param zone: availability zone, empty where unknown.
+    """
 
     name: str
     peer_address: str
@@ -35,16 +40,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """Hold one reading of the list."""
+    """One reading of the list.
+
+    :param entries: entry instances.
+    :param servers: backend servers.
+    """
 
     entries: tuple[EntryView, ...]
     servers: tuple[ServerView, ...]
 
 
 def read_listing(http: urllib3.PoolManager, base_url: str) -> Listing:
-    """Read the list; blocks for up to the time-out.
+    """Read the list once; blocks, for ``TIMEOUT_S`` until a time-out.
 
-    :raises StoreError: where the list does not answer.
+    :param base_url: ``http://ip:port`` of the platform.
+    :raises StoreError: if the platform is unreachable or returns an error.
     """
     try:
         answer = http.request(
@@ -64,9 +74,12 @@
     platform: str,
     on_listing: Callable[[Listing], None],
 ) -> None:
-    """Read the list again and again for ever.
+    """Read the list every ``POLL_INTERVAL_S`` until cancelled.
+
+    A failed reading is logged; the previous one stays in use.
 
     :param platform: ``ip:port`` of the platform.
+    :param on_listing: called with each successful reading.
     """
     http = urllib3.PoolManager(maxsize=1)
     log = PartLog('list')
@@ -78,14 +91,14 @@
                 f'http://{platform}',
             )
         except StoreError as error:
-            log.warn('The instance list does not answer.', why=str(error))
+            log.warn('Reading the instance list failed.', why=str(error))
         else:
             on_listing(listing)
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def parse_listing(body: bytes) -> Listing:
-    """Turn the list's JSON into views."""
+    """Parse the list's JSON; each role other than entry names a pool."""
     instances = orjson.loads(body)['instances']
     entries = [
         EntryView(
--- a/src/siskinpass/process/dispatcher.py
+++ b/src/siskinpass/process/dispatcher.py
@@ -1,4 +1,7 @@
-"""Find the broker of each group and keep the desks attached to it."""
+"""Connect the broker client of each group to the instance that runs its broker.
+
+While that instance cannot be reached, a local fallback broker takes its place.
+"""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -16,29 +19,37 @@
 
 UNREACHABLE_TTL_S = 2.0
 
-# Opens a port to the broker of a group at another instance.
+# Opens a session with the broker of the client's group at the named instance.
+# The last argument is called with the session when it is lost.
 SessionOpener = Callable[
     [str, BrokerClient, Callable[[BrokerSession], None]], BrokerSession
 ]
 
 
 class LocalSession:
-    """Speak to a broker in this process."""
+    """Session with a broker in this process."""
 
     def __init__(self, host: BrokerHost, group: str, entry: str) -> None:
-        """Open a session; commands arrive in a later turn of the loop."""
+        """Open the session.
+
+        Events and commands are delivered in a later iteration of the event
+        loop. Commands are dropped until ``on_commands`` is set.
+
+        :param group: name of the group, with the prefix for a fallback broker.
+        :param entry: name of this instance.
+        """
         self._loop = asyncio.get_running_loop()
         self._closed = False
         self._session = host.open(group, entry, self._deliver)
         self.on_commands: Callable[[list[Command]], None] | None = None
 
     def send(self, events: list[Event]) -> None:
-        """Send events in order."""
+        """Schedule events for the broker, in order."""
         if events:
             self._loop.call_soon(self._session.apply, events)
 
     def close(self) -> None:
-        """End the session."""
+        """End the session; commands that arrive later are dropped."""
         self._closed = True
         self._session.close()
 
@@ -48,10 +59,10 @@
 
 
 class Dispatcher:
-    """Own the desks of this entry.
+    """Broker clients of this entry instance, one for each group.
 
-    :param own: name of this instance.
-    :param dial: opens a port to another instance.
+    :ivar decides_locally: whether this instance runs the brokers of all groups
+        itself, for its own tickets only.
     """
 
     def __init__(
@@ -61,7 +72,14 @@
         open_session: SessionOpener,
         count_retry: Callable[[Code], None],
     ) -> None:
-        """Start alone."""
+        """Start with this instance as the only one known.
+
+        :param own: name of this instance.
+        :param host: the brokers of this instance.
+        :param open_session: opens a session with another instance.
+        :param count_retry: called with the code of a retry whenever a client
+            switches to another broker.
+        """
         self._own = own
         self._host = host
         self._open_session = open_session
@@ -75,38 +93,53 @@
 
     @property
     def instances(self) -> frozenset[str]:
-        """Return the instances that may hold brokers."""
+        """Return the names of the instances that may run brokers."""
         return self._instances
 
     @property
     def broker_clients(self) -> Iterable[BrokerClient]:
-        """Return the desks."""
+        """Return the clients of all groups used so far."""
         return self._clients.values()
 
     def ask(self, ticket: Ticket, listener: TicketListener) -> None:
-        """Open a ticket for a pool."""
+        """Open a ticket in the ticket's pool.
+
+        :param listener: called with the broker's decisions on it.
+        """
         self._client(ticket.pool).ask(ticket, listener)
 
     def withdraw(self, pool: str, ticket_id: str) -> None:
-        """Take back a ticket."""
+        """Withdraw a ticket, whether it waits or holds a slot."""
         self._client(pool).withdraw(ticket_id)
 
     def release(self, pool: str, ticket_id: str, *, failed: bool) -> None:
-        """Give a slot back."""
+        """Release a granted slot.
+
+        :param failed: whether the backend server failed the request.
+        """
         self._client(pool).release(ticket_id, failed=failed)
 
     def observe(self, pool: str, observed: TokensObserved) -> None:
-        """Tell the broker of a server's speed."""
+        """Report the speed of a server to the broker of its pool."""
         self._client(pool).observe(observed)
 
     def update_instances(self, names: Iterable[str]) -> None:
-        """Take the live instances; desks whose broker moved follow it."""
+        """Replace the instances that may run brokers.
+
+        Clients whose broker has moved are connected to the new one.
+
+        :param names: if empty, this instance alone is used.
+        """
         self._instances = frozenset(names) or frozenset((self._own,))
         for client in self._clients.values():
             self._reattach_if_moved(client)
 
     def recheck(self) -> None:
-        """Return from a fallback to a broker that is worth trying again."""
+        """Switch clients from a fallback back to the broker where it is due.
+
+        A broker is tried again ``UNREACHABLE_TTL_S`` after its session was
+        lost.
+        """
         for client in self._clients.values():
             self._reattach_if_moved(client)
 
@@ -123,7 +156,10 @@
             self._attach(client)
 
     def _broker_of(self, group: str) -> str:
-        """Return the instance to ask, or the fallback's name."""
+        """Return the name of the instance that runs a group's broker.
+
+        While it is considered unreachable, its name has the fallback prefix.
+        """
         if self.decides_locally:
             return self._own
         name = holder(group, self._instances)
@@ -159,7 +195,10 @@
     ) -> None:
         if client.broker != broker or not client.is_attached_to(session):
             return
-        self._log.warn('A broker does not answer.', broker=broker)
+        self._log.warn(
+            'Lost the session with a broker; using a local fallback.',
+            broker=broker,
+        )
         self._unreachable[broker] = self._loop.time() + UNREACHABLE_TTL_S
         self._count_retry(Code.retry_broker_changed)
         client.detach()
--- a/src/siskinpass/process/gossip.py
+++ b/src/siskinpass/process/gossip.py
@@ -1,4 +1,4 @@
-"""Carry heartbeats as datagrams, each with a keyed hash of its bytes."""
+"""Exchange heartbeats as UDP datagrams, authenticated by a keyed hash."""
 
 import asyncio
 import hashlib
@@ -25,10 +25,7 @@
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Own the datagram socket and the membership behind it.
-
-    :param on_change: called when the set of live members changed.
-    """
+    """Transport of the membership protocol over a datagram socket."""
 
     def __init__(
         self,
@@ -36,7 +33,13 @@
         key: str,
         on_change: Callable[[], None],
     ) -> None:
-        """Wait for the socket."""
+        """Start without a socket; the event loop attaches it.
+
+        :param key: secret that all instances share, cut to the maximum length
+            of a BLAKE2b key.
+        :param on_change: called when a live member was added, removed or
+            changed its state.
+        """
         self._membership = membership
         self._key = key.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
         self._on_change = on_change
@@ -48,15 +51,15 @@
 
     @property
     def membership(self) -> Membership:
-        """Return the members as this instance sees them."""
+        """Return the members known to this instance."""
         return self._membership
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
+        """Store the socket to send on."""
         self._transport = transport
 
     def datagram_received(self, datagram: bytes, addr: object) -> None:
-        """Take in one heartbeat; a forged or broken one is dropped."""
+        """Apply one heartbeat; a forged or malformed one is dropped."""
         mac, body = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
         if not hmac.compare_digest(mac, self._mac(body)):
             return
@@ -67,11 +70,19 @@
         self._apply(PacketArrived(packet))
 
     def set_seeds(self, members: tuple[Member, ...]) -> None:
-        """Take the instances of the platform's list."""
+        """Replace the list of instances that are pinged while not live.
+
+        :param members: as read from the platform; it may contain this instance.
+        """
         self._apply(SeedsListed(members))
 
     def update_own_state(self, *, leaving: bool, tree_version: int) -> None:
-        """Change what this instance tells of itself."""
+        """Announce a change of this instance's own state.
+
+        Nothing is sent if neither value has changed.
+
+        :param tree_version: number of the version in force here.
+        """
         own = self._membership.own
         same_state = bool(own.state) == leaving
         if same_state and own.tree_version == tree_version:
@@ -79,7 +90,7 @@
         self._apply(OwnStateChanged(leaving, tree_version))
 
     async def run(self) -> None:
-        """Let time pass."""
+        """Drive the time-outs and probes until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             self._apply(TimePassed())
--- a/src/siskinpass/process/hosting.py
+++ b/src/siskinpass/process/hosting.py
@@ -1,7 +1,7 @@
-"""Host the brokers that this instance holds.
+"""Run the brokers of the groups that this instance is responsible for.
 
-An asyncio task owns the brokers; entries speak to them through sessions,
-over the network or from the same process.
+Entry instances reach a broker through sessions, over the network or within the
+process.
 """
 
 import asyncio
@@ -22,6 +22,8 @@
 TICK_S = 0.05
 SESSION_GRACE_S = 1.0
 IDLE_BROKER_TTL_S = 30.0
+# Name prefix of a local broker that stands in while the group's own broker
+# cannot be reached.
 FALLBACK_PREFIX = 'fallback:'
 
 OnCommands = Callable[[list[Command]], None]
@@ -30,7 +32,11 @@
 
 @dataclass(slots=True)
 class _HostedBroker:
-    """Hold one broker and the sessions of its entries."""
+    """One broker with its sessions.
+
+    :param sessions: sessions by the name of the entry instance.
+    :param last_used_s: when it last had a session.
+    """
 
     broker: Broker
     sessions: dict[str, 'EntrySession'] = field(default_factory=dict)
@@ -38,7 +44,7 @@
 
 
 class EntrySession:
-    """Connect one entry to one hosted broker."""
+    """Broker's side of the session with one entry instance."""
 
     def __init__(
         self,
@@ -47,23 +53,32 @@
         entry: str,
         on_commands: OnCommands,
     ) -> None:
-        """Keep where commands go."""
-        self._broker_for = host
+        """Create a session; :meth:`BrokerHost.open` registers it.
+
+        :param on_commands: called with the commands for the entry instance.
+        """
+        self._host = host
         self.group = group
         self.entry = entry
         self.on_commands = on_commands
 
     def apply(self, events: Iterable[Event]) -> None:
-        """Tell the broker what happened at the entry."""
-        self._broker_for.apply_events(self, events)
+        """Apply events of the entry instance to the broker.
+
+        They are ignored if a newer session has replaced this one.
+        """
+        self._host.apply_events(self, events)
 
     def close(self) -> None:
-        """End the session; its slots are kept for a short grace."""
-        self._broker_for.close_session(self)
+        """End the session.
+
+        The entry's tickets and grants stay valid for ``SESSION_GRACE_S``.
+        """
+        self._host.close_session(self)
 
 
 class BrokerHost:
-    """Own the brokers of this instance."""
+    """The brokers of this instance, created on first use."""
 
     def __init__(
         self,
@@ -72,7 +87,7 @@
     ) -> None:
         """Start without brokers.
 
-        :param policy_of: gives the policy of a group by its name.
+        :param policy_of: returns the policy of a group by its name.
         """
         self._loop = loop
         self._policy_of = policy_of
@@ -91,7 +106,14 @@
         entry: str,
         on_commands: OnCommands,
     ) -> EntrySession:
-        """Start a session; it replaces an earlier one of the same entry."""
+        """Open a session with the broker of a group.
+
+        An earlier session of the same entry instance is replaced, and its
+        tickets and grants are voided.
+
+        :param entry: name of the entry instance.
+        :param on_commands: called with the commands for the entry instance.
+        """
         hosted = self._broker_for(group)
         session = EntrySession(self, group, entry, on_commands)
         if entry in hosted.sessions:
@@ -102,30 +124,33 @@
     def apply_events(
         self, session: EntrySession, events: Iterable[Event]
     ) -> None:
-        """Apply the events of one session."""
+        """Apply events of a session; those of a replaced one are ignored."""
         hosted = self._hosted.get(session.group)
         if hosted is None or hosted.sessions.get(session.entry) != session:
             return
         self._apply(hosted, *events)
 
     def close_session(self, session: EntrySession) -> None:
-        """End a session after a grace in which a new one may replace it."""
+        """End a session after ``SESSION_GRACE_S``, unless it is replaced."""
         self._loop.call_later(SESSION_GRACE_S, self._expire_session, session)
 
     def remove_entry(self, entry: str) -> None:
-        """Void all that a dead entry held."""
+        """End the sessions of a dead entry instance, without the grace period.
+
+        All brokers void its tickets and grants.
+        """
         for hosted in self._hosted.values():
             if hosted.sessions.pop(entry, None) is not None:
                 self._apply(hosted, EntryLost(entry))
 
     def update_servers(self, pools: dict[str, tuple[ServerView, ...]]) -> None:
-        """Take the backend servers of each group."""
+        """Replace the list of backend servers of each group."""
         self._servers = pools
         for group, hosted in self._hosted.items():
             self._apply(hosted, ServersListed(self._servers_of(group)))
 
     async def run(self) -> None:
-        """Let time pass for all brokers."""
+        """Send clock ticks to all brokers and delete unused ones."""
         while True:
             await asyncio.sleep(TICK_S)
             for group, hosted in tuple(self._hosted.items()):
@@ -135,7 +160,7 @@
     def _broker_for(self, group: str) -> _HostedBroker:
         hosted = self._hosted.get(group)
         if hosted is None:
-            self._log.note('Took over a group.', group=group)
+            self._log.note('Started a broker for a group.', group=group)
             hosted = _HostedBroker(Broker(self._policy_of(group)))
             self._hosted[group] = hosted
             self._apply(hosted, ServersListed(self._servers_of(group)))
--- a/src/siskinpass/process/lease.py
+++ b/src/siskinpass/process/lease.py
@@ -1,9 +1,11 @@
-"""Hold a lease with a fencing number.
-
-Pure logic: readings of the lease object and a clock go in, what to write
-comes out. A lease is taken over only after its object has not changed for
-its whole length by the taker's own clock, so that no two clocks are compared.
-A holder trusts its lease from before it asked for it, less a margin.
+"""Acquire and renew a lease with a fencing number.
+
+Pure logic without I/O: readings of the lease object and of a monotonic clock go
+in, the writes to attempt come out. An instance takes over a lease only after
+it has seen the object unchanged for the whole length of the lease on its own
+clock, so clocks of different machines are never compared. The holder counts
+the validity of its lease from before the write was sent, and ends it early by
+a safety margin.
 """
 
 from dataclasses import asdict, dataclass
@@ -13,11 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """Hold the lease object.
+    """Lease object as stored.
 
     :param holder: name and incarnation of the holder.
-    :param fence: counts up with each new holder.
-    :param length_s: time after which an unchanged lease is void.
+    :param fence: fencing number, incremented with each new holder.
+    :param length_s: time after which an unchanged lease has expired.
+    :param renewals: number of times that this holder has renewed it.
     """
 
     holder: str
@@ -26,21 +29,21 @@
     renewals: int = 0
 
     def dump(self) -> bytes:
-        """Return the lease as it is stored."""
+        """Return the lease in its stored form, as JSON."""
         return orjson.dumps(asdict(self))
 
     @classmethod
     def load(cls, stored: bytes) -> 'LeaseRecord':
-        """Read a stored lease."""
+        """Return the lease that is stored in JSON."""
         return cls(**orjson.loads(stored))
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseWrite:
-    """Ask for a conditional write of the lease object.
+    """Conditional write of the lease object.
 
-    :param version: version that the object must have, 0 for a new one.
-    :param asked_s: clock when the write was decided.
+    :param version: version that the object must have, 0 if it must not exist.
+    :param decided_s: clock reading when the write was decided on.
     """
 
     record: LeaseRecord
@@ -49,12 +52,14 @@
 
 
 class LeaseLogic:
-    """Decide when to take, renew and distrust a lease."""
+    """State of one lease as seen by one instance."""
 
     def __init__(self, own: str, length_s: float, margin_s: float) -> None:
         """Start without the lease.
 
-        :param margin_s: time by which the holder stops early.
+        :param own: identifies this instance and its incarnation as the holder.
+        :param margin_s: time before the end of the lease from which the holder
+            no longer relies on it.
         """
         self._own = own
         self._length_s = length_s
@@ -65,7 +70,7 @@
         self._valid_until_s = float('-inf')
 
     def fence(self, now_s: float) -> int | None:
-        """Return the fencing number while the lease is held, else none."""
+        """Return the fencing number, or None if the lease is not held."""
         if self._record is None or now_s >= self._valid_until_s:
             return None
         return self._record.fence
@@ -76,7 +81,11 @@
         version: int,
         now_s: float,
     ) -> None:
-        """Take in a reading of the lease object."""
+        """Record a reading of the lease object.
+
+        :param record: None if the object does not exist.
+        :param version: store's version of the object.
+        """
         if version != self._version or self._record is None:
             self._changed_s = now_s
         if record is None or record.holder != self._own:
@@ -85,7 +94,13 @@
         self._version = version
 
     def next_write(self, now_s: float) -> LeaseWrite | None:
-        """Return the write to try now, or none while another holds it."""
+        """Return the write to attempt now.
+
+        Without a lease object it creates one, while the lease is held it renews
+        it, and after another holder's lease has expired it takes it over.
+
+        :returns: None while another instance may hold the lease.
+        """
         record = self._record
         if record is None:
             first = LeaseRecord(self._own, 1, self._length_s)
@@ -104,16 +119,19 @@
         return LeaseWrite(takeover, self._version, now_s)
 
     def write_confirmed(self, write: LeaseWrite, version: int) -> None:
-        """Take in that a write was confirmed."""
+        """Record that the store confirmed a write.
+
+        :param version: version of the object after the write.
+        """
         self._record = write.record
         self._version = version
         self._changed_s = write.decided_s
         self._valid_until_s = write.decided_s + self._length_s - self._margin_s
 
     def write_failed(self) -> None:
-        """Take in that a write failed or has an unknown outcome.
+        """Record that a write failed or has an unknown outcome.
 
-        The lease counts only as long as it did before; the next reading
-        tells what the object is now.
+        The validity of the lease is not extended. The next reading shows the
+        current state of the object.
         """
         self._version = -1
--- a/src/siskinpass/process/membership.py
+++ b/src/siskinpass/process/membership.py
@@ -1,9 +1,10 @@
-"""Keep the set of live entry instances by heartbeats and gossip.
+"""Track the live instances with heartbeats and gossip.
 
-Pure logic in the manner of SWIM (Das, Gupta, Motivala, 2002): each period an
-instance probes one other, asks a few to probe it where no answer comes, and
-carries news of members on the packets that it sends anyway. The messages a
-period are the same whatever the number of instances.
+Pure logic without I/O, after SWIM (Das, Gupta, Motivala, 2002). In each
+interval an instance probes one other; if no ack arrives, it asks a few others
+to probe it too. Changes of member states are piggybacked on these packets. The
+number of packets that an instance sends per interval does not depend on the
+number of instances.
 """
 
 import random
@@ -14,14 +15,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipPolicy:
-    """Set the rhythm of the heartbeats, in seconds.
-
-    :param period_s: time between probes.
-    :param ack_s: wait for an answer before others are asked.
-    :param suspect_s: time from suspicion to death.
-    :param forget_s: time that a dead member is remembered.
-    :param helpers: members asked to probe in our place.
-    :param news: members told of on one packet.
+    """Configuration of the failure detector.
+
+    :param probe_interval_s: time between probes.
+    :param ack_timeout_s: wait for an ack before others are asked to probe.
+    :param suspect_timeout_s: time after which a suspect is declared dead.
+    :param forget_after_s: time after which a dead member is removed.
+    :param indirect_probes: number of other members that are asked to probe.
+    :param news: maximum number of member states piggybacked on a packet, not
+        counting the state of its receiver.
     """
 
     probe_interval_s: float = 0.2
@@ -37,20 +39,24 @@
 LEAVING = 2
 DEAD = 3
 
+# Number of packets on which each change of a member's state is sent.
 UPDATE_REPEATS = 8
 MAX_SEED_PINGS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Describe one member as it is told in gossip.
-
-    :param incarnation: start time of its process in ms; a replaced instance
-        has a higher one.
+    """State of one member, as exchanged by gossip.
+
+    :param peer_address: ``ip:port`` of its heartbeats.
+    :param caller_address: ``ip:port`` at which it serves callers.
+    :param zone: availability zone.
+    :param incarnation: start time of its process in Unix ms; a restarted or
+        replaced instance has a higher one.
+    :param counter: incremented only by the member itself, to refute a suspicion
+        and on every change of its own state.
     :param state: 0 alive, 1 suspect, 2 leaving, 3 dead.
-    :param counter: raised by the member itself to refute a suspicion and on
-        every change of what it tells of itself.
-    :param tree_version: version of the tree in force there.
+    :param tree_version: number of the settings tree's version in force there.
     """
 
     name: str
@@ -64,18 +70,20 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Return what orders two tellings of the same member."""
+        """Return a sort key: of two states of a member, the greater wins."""
         return (self.incarnation, self.counter, self.state)
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """Carry one heartbeat and some news.
-
-    :param kind: ``ping``, ``ack`` or ``ask``.
-    :param sequence: pairs an answer with its probe.
-    :param target: member to probe for the sender of an ``ask``, or the
-        member that an ``ack`` speaks for.
+    """One heartbeat with piggybacked member states.
+
+    :param kind: ``ping``, ``ack``, or ``ask`` for an indirect probe.
+    :param sender: the sender's own state.
+    :param sequence: matches an ack to its probe; 0 if the ack is not awaited.
+    :param news: states of other members.
+    :param target: for an ``ask``, the member to probe; for an ``ack``, the
+        member that answered an indirect probe, empty for the sender itself.
     """
 
     kind: str
@@ -87,26 +95,29 @@
 
 @dataclass(frozen=True, slots=True)
 class PacketArrived:
-    """A packet came from the network."""
+    """A packet was received."""
 
     packet: Packet
 
 
 @dataclass(frozen=True, slots=True)
 class SeedsListed:
-    """The instance list told of instances."""
+    """The list of instances was read.
+
+    :param members: all listed instances; replaces the earlier list.
+    """
 
     members: tuple[Member, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Time passed."""
+    """A periodic tick, on which time-outs are checked and probes are sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class OwnStateChanged:
-    """What this instance tells of itself changed."""
+    """The state that this instance announces of itself changed."""
 
     leaving: bool
     tree_version: int
@@ -114,7 +125,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPacket:
-    """Send a packet to an address."""
+    """A packet is to be sent.
+
+    :param address: ``ip:port``.
+    """
 
     address: str
     packet: Packet
@@ -122,7 +136,12 @@
 
 @dataclass(slots=True)
 class _Probe:
-    """Track the probe of this period."""
+    """The probe of the current interval.
+
+    :param target: name of the probed member.
+    :param asked: whether other members were asked to probe it too.
+    :param answered: whether a direct or indirect ack arrived.
+    """
 
     target: str
     sequence: int
@@ -133,7 +152,11 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """Hold a member and when its state began."""
+    """A known member.
+
+    :param since_s: when it entered its current state.
+    :param repeats_left: number of packets on which it is still to be sent.
+    """
 
     member: Member
     since_s: float
@@ -141,7 +164,7 @@
 
 
 class Membership:
-    """Track members and decide what to send."""
+    """The members known to this instance, and the probing of them."""
 
     def __init__(
         self,
@@ -149,7 +172,7 @@
         policy: MembershipPolicy,
         rng: random.Random,
     ) -> None:
-        """Start with only this instance known."""
+        """Start with this instance as the only member."""
         self._own = own
         self._policy = policy
         self._rng = rng
@@ -166,18 +189,18 @@
 
     @property
     def own(self) -> Member:
-        """Return what this instance tells of itself."""
+        """Return the state that this instance announces of itself."""
         return self._own
 
     @property
     def members(self) -> list[Member]:
-        """Return all known members, this instance among them."""
+        """Return all known members, including this instance and dead ones."""
         known = [entry.member for entry in self._entries.values()]
         return [self._own, *known]
 
     @property
     def live(self) -> list[Member]:
-        """Return the members that are not dead, suspects included."""
+        """Return the members that are not dead, including suspects."""
         return [member for member in self.members if member.state != DEAD]
 
     @property
@@ -194,17 +217,21 @@
         event: PacketArrived | SeedsListed | TimePassed | OwnStateChanged,
         now_s: float,
     ) -> list[SendPacket]:
-        """Take in one event and return the packets to send."""
+        """Apply one event and return the packets to send.
+
+        :param now_s: monotonic clock in seconds; a reading earlier than the
+            previous one is ignored.
+        """
         self._now_s = max(self._now_s, now_s)
-        self._handle(event)
+        self._apply_event(event)
         outgoing, self._outgoing = self._outgoing, []
         return outgoing
 
     @singledispatchmethod
-    def _handle(self, event: object) -> None:
+    def _apply_event(self, event: object) -> None:
         raise TypeError(event)
 
-    @_handle.register
+    @_apply_event.register
     def _handle_packet(self, event: PacketArrived) -> None:
         packet = event.packet
         self._merge_all((packet.sender, *packet.news))
@@ -215,12 +242,12 @@
         else:
             self._handle_ack(packet)
 
-    @_handle.register
+    @_apply_event.register
     def _handle_seeds(self, event: SeedsListed) -> None:
         own = self._own.name
         self._seeds = tuple(seed for seed in event.members if seed.name != own)
 
-    @_handle.register
+    @_apply_event.register
     def _handle_own_change(self, event: OwnStateChanged) -> None:
         self._own = replace(
             self._own,
@@ -233,7 +260,7 @@
                 if entry.member.state != DEAD:
                     self._send(entry.member, 'ping', 0)
 
-    @_handle.register
+    @_apply_event.register
     def _handle_tick(self, event: TimePassed) -> None:
         self._expire_members()
         self._request_indirect_probes()
@@ -263,11 +290,11 @@
             else:
                 self._entries[member.name] = _Entry(member, self._now_s)
 
-    def _refute(self, reports: Member) -> None:
-        same = reports.incarnation == self._own.incarnation
-        wrong = reports.state in {SUSPECT, DEAD}
-        if same and wrong and reports.counter >= self._own.counter:
-            self._own = replace(self._own, counter=reports.counter + 1)
+    def _refute(self, report: Member) -> None:
+        same = report.incarnation == self._own.incarnation
+        wrong = report.state in {SUSPECT, DEAD}
+        if same and wrong and report.counter >= self._own.counter:
+            self._own = replace(self._own, counter=report.counter + 1)
 
     def _expire_members(self) -> None:
         policy = self._policy
@@ -334,7 +361,7 @@
                 return entry.member
 
     def _ping_missing_seeds(self) -> None:
-        """Greet listed instances that are not known to live."""
+        """Ping a few listed instances that are unknown or considered dead."""
         missing = [
             seed
             for seed in self._seeds
@@ -381,9 +408,10 @@
         self._outgoing.append(SendPacket(receiver.peer_address, packet))
 
     def _select_news(self, receiver: Member) -> tuple[Member, ...]:
-        """Return the least often repeated news, and the receiver's own state.
+        """Return the member states that were sent least often.
 
-        A suspect has to hear of its suspicion in order to refute it.
+        A suspect or dead receiver also gets its own state, since it can refute
+        only a suspicion that it knows of.
         """
         selected = sorted(
             (
--- a/src/siskinpass/process/peer_server.py
+++ b/src/siskinpass/process/peer_server.py
@@ -1,4 +1,4 @@
-"""Answer the calls of other instances over grpclib."""
+"""gRPC service for the other instances, over grpclib."""
 
 import asyncio
 import hmac
@@ -21,20 +21,27 @@
 
 
 class PeerState(Protocol):
-    """Answer what peers read."""
+    """State of this instance that other instances may read."""
 
     def tree_newer_than(self, number: int) -> tuple[int, str]:
-        """Return number and text of the version in force."""
+        """Return the number and YAML of the settings tree in force.
+
+        The text is empty if the number is not above the given one.
+        """
 
     def counts_after(self, second: int) -> pb.CountsReply:
-        """Return the counts of the seconds after one."""
+        """Return the counts of all complete seconds after a given one."""
 
 
 class PeerService(PeerBase):
-    """Answer the calls of other instances."""
+    """Implementation of the service; each call must carry the peer key."""
 
     def __init__(self, host: BrokerHost, state: PeerState, key: str) -> None:
-        """Keep the brokers and the state that peers may read."""
+        """Create the service.
+
+        :param host: the brokers that sessions are opened with.
+        :param key: peer key that callers must present.
+        """
         self._host = host
         self._state = state
         self._key = key
@@ -43,7 +50,11 @@
         self,
         stream: Stream[pb.EntryBatch, pb.BrokerBatch],
     ) -> None:
-        """Serve one broker session."""
+        """Serve one session with a broker.
+
+        The first batch names the group and the entry instance. The session ends
+        with the stream, or if nothing arrives for ``ENTRY_TIMEOUT_S``.
+        """
         self._check_key(stream)
         first = await stream.recv_message()
         if first is None:
@@ -61,7 +72,7 @@
         self,
         stream: Stream[pb.TreeRequest, pb.TreeReply],
     ) -> None:
-        """Answer with the version in force."""
+        """Send the version in force, its text only if newer than requested."""
         self._check_key(stream)
         request = await stream.recv_message()
         number, text = self._state.tree_newer_than(request.newer_than)
@@ -71,7 +82,7 @@
         self,
         stream: Stream[pb.CountsRequest, pb.CountsReply],
     ) -> None:
-        """Answer with this instance's counts."""
+        """Send this instance's counts of the seconds after the given one."""
         self._check_key(stream)
         request = await stream.recv_message()
         reply = self._state.counts_after(request.after_second)
@@ -110,7 +121,10 @@
     address: str,
     security: PeerSecurity,
 ) -> Server:
-    """Listen for the calls of other instances."""
+    """Start to listen for calls of other instances.
+
+    :param address: ``ip:port``.
+    """
     server = Server([service])
     host, port = address.rsplit(':', 1)
     await server.start(host, int(port), ssl=security.server)
--- a/src/siskinpass/process/peers.py
+++ b/src/siskinpass/process/peers.py
@@ -1,4 +1,4 @@
-"""Keep channels to other instances over grpclib."""
+"""gRPC channels to other instances, over grpclib."""
 
 import ssl
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSecurity:
-    """Hold what instances show each other.
+    """Credentials for the traffic between instances.
 
-    :param key: shared key, also of the heartbeats.
-    :param server: TLS context of the listening side, none without TLS.
-    :param client: TLS context of the dialling side, none without TLS.
+    :param key: secret that all instances share, also used for heartbeats.
+    :param server: TLS context for accepted connections, None without TLS.
+    :param client: TLS context for outgoing connections, None without TLS.
     """
 
     key: str
@@ -30,7 +30,7 @@
 
 
 class PeerLinks:
-    """Own the channels to other instances."""
+    """Channels to other instances, one for each, opened on first use."""
 
     def __init__(
         self,
@@ -38,7 +38,11 @@
         local_host: str,
         security: PeerSecurity,
     ) -> None:
-        """Start without channels."""
+        """Start without channels.
+
+        :param own: name of this instance.
+        :param local_host: IP address from which connections are made.
+        """
         self._own = own
         self._local_host = local_host
         self._security = security
@@ -46,7 +50,12 @@
         self._addresses: dict[str, str] = {}
 
     def update_addresses(self, addresses: dict[str, str]) -> None:
-        """Take the peer addresses of the live instances by name."""
+        """Replace the addresses of the other instances.
+
+        Channels to instances that are gone or have a new address are closed.
+
+        :param addresses: ``ip:port`` by the name of the instance.
+        """
         for name, channel in tuple(self._channels.items()):
             if addresses.get(name) != self._addresses.get(name):
                 channel.close()
@@ -59,13 +68,19 @@
         broker_client: BrokerClient,
         on_lost: Callable[[BrokerSession], None],
     ) -> BrokerSession:
-        """Open a broker session with another instance."""
+        """Open a session with a broker at another instance.
+
+        :param name: name of the instance.
+        :param broker_client: gets the broker's commands.
+        :param on_lost: called with the session when it has ended.
+        :raises KeyError: if the instance's address is not known.
+        """
         return RemoteSession(self.stub(name), self._own, broker_client, on_lost)
 
     def stub(self, name: str) -> PeerStub:
         """Return a stub for another instance.
 
-        :raises KeyError: where its address is not known.
+        :raises KeyError: if its address is not known.
         """
         channel = self._channels.get(name)
         if channel is None:
@@ -81,7 +96,10 @@
         return PeerStub(channel)
 
     def drop(self, name: str) -> None:
-        """Close the channel to an instance, so that the next is new."""
+        """Close the channel to an instance, so that the next call reconnects.
+
+        Nothing happens if there is no channel.
+        """
         channel = self._channels.pop(name, None)
         if channel is not None:
             channel.close()
@@ -93,7 +111,7 @@
 
 
 class _AuthenticatedChannel(Channel):
-    """Show the peer key on every call, from this instance's own address."""
+    """Channel that sends the peer key and binds to a given local address."""
 
     key = ''
     local_host = ''
@@ -110,6 +128,6 @@
         return protocol
 
     def request(self, *args, metadata=None, **kwargs):
-        """Open a call with the key among its metadata."""
+        """Start a call with the peer key added to its metadata."""
         with_key = (*(metadata or ()), (KEY_HEADER, self.key))
         return super().request(*args, metadata=with_key, **kwargs)
--- a/src/siskinpass/process/remote_session.py
+++ b/src/siskinpass/process/remote_session.py
@@ -1,7 +1,7 @@
-"""Speak to a broker at another instance over grpclib.
+"""Session with a broker at another instance, over grpclib.
 
-A broker session is one stream each way. Both sides send at least a heartbeat,
-so that a silent connection is noticed.
+A session is one bidirectional stream. Both ends send a heartbeat when they have
+nothing else to send, so that each can detect that the connection is lost.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class RemoteSession:
-    """Speak to a broker at another instance."""
+    """Session with a broker at another instance."""
 
     def __init__(
         self,
@@ -30,7 +30,13 @@
         broker_client: BrokerClient,
         on_lost: Callable[[BrokerSession], None],
     ) -> None:
-        """Start the session; it reports its own end once."""
+        """Start to connect.
+
+        :param own: name of this instance.
+        :param broker_client: gets the broker's commands.
+        :param on_lost: called once, with this session, when it has ended other
+            than by :meth:`close`.
+        """
         self._stub = stub
         self._own = own
         self._broker_client = broker_client
@@ -40,11 +46,11 @@
         self._task = asyncio.ensure_future(self._run())
 
     def send(self, events: list[Event]) -> None:
-        """Send events in order."""
+        """Queue events, which are sent in order."""
         self._outbox.put(events)
 
     def close(self) -> None:
-        """End the session."""
+        """End the session and cancel its stream."""
         self._task.cancel()
 
     async def _run(self) -> None:
@@ -93,10 +99,13 @@
                 )
 
     def _handle_acknowledgement(self, sequence: int) -> bool:
-        """Tell whether the broker still hears this entry.
+        """Record an acknowledged batch.
+
+        A connection can lose the traffic of one direction only, so messages
+        from the broker do not prove that it receives those sent to it.
 
-        A connection can go silent one way; what the broker sends proves
-        nothing of what it receives.
+        :returns: whether all batches older than ``SILENCE_TIMEOUT_S`` are
+            acknowledged.
         """
         while self._unacknowledged and self._unacknowledged[0][0] <= sequence:
             self._unacknowledged.popleft()
--- a/src/siskinpass/process/session_wire.py
+++ b/src/siskinpass/process/session_wire.py
@@ -1,4 +1,4 @@
-"""Hold what both ends of a broker session share."""
+"""Parts that both ends of a remote broker session share."""
 
 import asyncio
 from contextlib import suppress
@@ -21,24 +21,28 @@
 
 
 class Outbox:
-    """Hold messages until the sender takes them all at once.
+    """Messages that wait to be sent in one batch.
 
-    :ivar heard: number of the latest batch that came the other way.
+    :ivar heard: sequence number of the last batch received from the other end,
+        to be acknowledged with the next batch.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
         self._waiting: list = []
         self._filled = asyncio.Event()
         self.heard = 0
 
     def put(self, messages: list) -> None:
-        """Add messages."""
+        """Add messages and wake up the sender."""
         self._waiting.extend(messages)
         self._filled.set()
 
     async def take(self) -> list:
-        """Return all messages, or none after a heartbeat's time."""
+        """Wait for messages and return all of them.
+
+        :returns: an empty list if none was added for ``HEARTBEAT_S``, in which
+            case an empty batch is sent as a heartbeat.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(HEARTBEAT_S):
                 await self._filled.wait()
--- a/src/siskinpass/process/store.py
+++ b/src/siskinpass/process/store.py
@@ -1,7 +1,7 @@
-"""Speak to the platform's object store.
+"""Client of the platform's object store.
 
-The only module that knows the store's dialect. Calls run on a few threads of
-their own through urllib3; each is counted.
+Only this module knows the store's HTTP interface. Calls block in urllib3, so
+they run on a small thread pool; each call is counted by its kind.
 """
 
 import asyncio
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """Hold one object as it was read.
+    """One object as read from the store.
 
-    :param version: the store's version of the object.
+    :param version: changes with each write of the object.
     :param body: its value, at most 1 MB.
     """
 
@@ -50,17 +50,22 @@
 
 
 class Store:
-    """Read and conditionally write versioned objects."""
+    """Client for versioned objects with conditional writes.
+
+    Every method raises :exc:`StoreError` if the store is unreachable or
+    returns an error, or if ``MAX_OPEN_CALLS`` are already open.
+    """
 
     def __init__(
         self,
         base_url: str,
         on_call: Callable[[str], None],
     ) -> None:
-        """Prepare connections; none is opened yet.
+        """Create the client; connections are opened on first use.
 
         :param base_url: ``http://ip:port`` of the store.
-        :param note_call: told the kind of each call.
+        :param on_call: called with the kind of each call: ``read``, ``watch``
+            or ``write``.
         """
         self._base_url = base_url
         self._on_call = on_call
@@ -72,10 +77,7 @@
         )
 
     async def read(self, key: str) -> StoredObject | None:
-        """Return an object, or none where there is none.
-
-        :raises StoreError: where the store does not answer.
-        """
+        """Return an object, or None if it does not exist."""
         return await self._call('read', self._read, key, '', READ_TIMEOUT_S)
 
     async def watch(
@@ -84,35 +86,51 @@
         version: int,
         wait_s: float,
     ) -> StoredObject | None:
-        """Return an object once it is newer, or as it is after a time."""
+        """Wait until an object is newer than a version, and return it.
+
+        :param version: version known so far, 0 for none.
+        :param wait_s: longest wait, after which the object is returned as it
+            is.
+        :returns: None if it does not exist.
+        """
         query = f'?watch={version}&wait_s={wait_s}'
         timeout_s = wait_s + WATCH_MARGIN_S
         return await self._call('watch', self._read, key, query, timeout_s)
 
     async def create(self, key: str, body: bytes) -> int:
-        """Write an object that must not exist and return its version.
+        """Create an object and return its version.
 
-        :raises StoreConflictError: where it exists.
-        :raises StoreUnconfirmedError: where the write may have happened.
+        :raises StoreConflictError: if it already exists.
+        :raises StoreUnconfirmedError: if the outcome is unknown.
         """
         return await self._write('PUT', key, body, {'If-None-Match': '*'})
 
     async def replace(self, key: str, body: bytes, version: int) -> int:
-        """Write an object that must have a version; return the new one."""
+        """Replace an object and return its new version.
+
+        :param version: version that the object must have.
+        :raises StoreConflictError: if it has another version.
+        :raises StoreUnconfirmedError: if the outcome is unknown.
+        """
         expected = {'If-Match': str(version)}
         return await self._write('PUT', key, body, expected)
 
     async def delete(self, key: str, version: int) -> None:
-        """Remove an object that must have a version."""
+        """Delete an object.
+
+        :param version: version that the object must have.
+        :raises StoreConflictError: if it has another version.
+        :raises StoreUnconfirmedError: if the outcome is unknown.
+        """
         await self._write('DELETE', key, b'', {'If-Match': str(version)})
 
     async def list_keys(self, prefix: str) -> list[str]:
-        """Return the keys that begin with a prefix."""
+        """Return the keys that begin with a prefix, sorted."""
         listed = await self._call('read', self._list_keys, prefix)
         return sorted(listed)
 
     def close(self) -> None:
-        """Drop the connections and threads."""
+        """Close the connections and cancel calls that have not started."""
         self._threads.shutdown(wait=False, cancel_futures=True)
         self._http.clear()
 
@@ -208,7 +226,7 @@
     except (NewConnectionError, ConnectTimeoutError, MaxRetryError) as error:
         raise StoreError(Code.store_down, str(error)) from error
     except HTTPError as error:
-        # The request may have reached the store before the connection broke.
+        # The store may have applied the write before the connection broke.
         raise StoreUnconfirmedError(
             Code.edit_unconfirmed,
             str(error),
--- a/src/siskinpass/process/store_lease.py
+++ b/src/siskinpass/process/store_lease.py
@@ -1,4 +1,4 @@
-"""Keep one lease in the object store."""
+"""Acquire and renew a lease in the object store."""
 
 import asyncio
 
@@ -14,10 +14,14 @@
 
 
 class StoreLease:
-    """Keep trying for one lease in the object store."""
+    """One lease in the object store, which this instance tries to hold."""
 
     def __init__(self, store: Store, key: str, own: str) -> None:
-        """Start without the lease."""
+        """Start without the lease.
+
+        :param key: key of the lease object.
+        :param own: identifies this instance and its incarnation as the holder.
+        """
         self._store = store
         self._key = key
         self._logic = LeaseLogic(own, LEASE_LENGTH_S, MARGIN_S)
@@ -26,11 +30,11 @@
 
     @property
     def fence(self) -> int | None:
-        """Return the fencing number while the lease is held."""
+        """Return the fencing number, or None if the lease is not held."""
         return self._logic.fence(self._loop.time())
 
     async def run(self) -> None:
-        """Take, renew or wait for the lease for ever."""
+        """Acquire and renew the lease until cancelled."""
         while True:
             try:
                 await self._step()
@@ -59,4 +63,4 @@
             )
         self._logic.write_confirmed(write, version)
         if not was_held:
-            self._log.note('Took a lease.', fence=write.record.fence)
+            self._log.note('Acquired a lease.', fence=write.record.fence)
--- a/src/siskinpass/process/treewatch.py
+++ b/src/siskinpass/process/treewatch.py
@@ -1,7 +1,7 @@
-"""Follow the accepted versions of the tree.
+"""Keep the newest accepted version of the settings tree in force.
 
-A few instances watch the store; the others learn of a new version from the
-heartbeats and read it from the instance that told them.
+A few instances watch the store. The others learn of a new version from the
+heartbeats, and read it from an instance that announces it.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 class TreeWatch:
-    """Own the version in force at this instance."""
+    """The version in force at this instance, and the tasks that update it."""
 
     def __init__(
         self,
@@ -41,7 +41,12 @@
         links: PeerLinks,
         on_version: Callable[[TreeVersion], None],
     ) -> None:
-        """Start with no version in force."""
+        """Start with no version in force.
+
+        :param own: name of this instance.
+        :param links: channels to the other instances.
+        :param on_version: called with each version that is put in force.
+        """
         self._own = own
         self._repository = repository
         self._links = links
@@ -54,11 +59,11 @@
 
     @property
     def book(self) -> CurrentVersion:
-        """Return the version in force."""
+        """Return the holder of the version in force."""
         return self._version
 
     def update_members(self, members: tuple[Member, ...]) -> None:
-        """Take the live members and the versions that they told of."""
+        """Replace the live members, with the versions in force there."""
         self._members = members
         if any(
             member.tree_version > self._version.number for member in members
@@ -66,13 +71,13 @@
             self._newer_announced.set()
 
     def adopt_if_newer(self, version: TreeVersion) -> None:
-        """Put a version in force if it is higher."""
+        """Put a version in force if its number is higher than the current."""
         if self._version.adopt_if_newer(version):
             self._log.note('A version is in force.', number=version.number)
             self._on_version(version)
 
     async def run(self) -> None:
-        """Follow the store and the peers for ever."""
+        """Follow the store and the other instances until cancelled."""
         await asyncio.gather(self._follow_store(), self._follow_peers())
 
     async def _follow_store(self) -> None:
@@ -85,7 +90,7 @@
             except StoreError:
                 await asyncio.sleep(RETRY_S)
             except TreeError as error:
-                self._log.warn('The stored tree has faults.', why=str(error))
+                self._log.warn('The stored tree is invalid.', why=str(error))
                 await asyncio.sleep(RETRY_S)
 
     async def _read_store(self) -> None:
@@ -135,7 +140,7 @@
         try:
             version = load_version(reply.version, reply.text)
         except TreeError as error:
-            self._log.warn('A peer told a faulty tree.', why=str(error))
+            self._log.warn('A peer sent an invalid tree.', why=str(error))
             return False
         self.adopt_if_newer(version)
         return True
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Test the lease as a state machine with paused holders."""
+"""Test that a lease has at most one holder, also when processes pause."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -10,17 +10,17 @@
 
 
 class TestLeaseLogic:
-    """Test single steps."""
+    """Test single steps of acquiring a lease."""
 
-    def test_first_taker_gets_fence_one(self):
-        """An absent lease is taken at once."""
+    def test_new_lease_has_fence_one(self):
+        """A lease without an object is acquired at once."""
         logic = LeaseLogic('a', LENGTH_S, MARGIN_S)
         logic.observe(None, 0, 0.0)
         write = logic.next_write(0.0)
         assert (write.record.fence, write.version) == (1, 0)
 
-    def test_lease_is_waited_out(self):
-        """Another's lease is taken over only after its whole length."""
+    def test_takeover_waits_for_expiry(self):
+        """A lease of another holder is taken over only after its length."""
         logic = LeaseLogic('a', LENGTH_S, MARGIN_S)
         held = LeaseRecord('b', 4, LENGTH_S)
         logic.observe(held, 9, 0.0)
@@ -29,7 +29,7 @@
         assert logic.next_write(6.0).record.fence == 5
 
     def test_unconfirmed_write_gives_no_lease(self):
-        """A write with an unknown outcome does not count."""
+        """A write with an unknown outcome does not give the lease."""
         logic = LeaseLogic('a', LENGTH_S, MARGIN_S)
         logic.observe(None, 0, 0.0)
         logic.next_write(0.0)
@@ -38,7 +38,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Let two instances compete over one lease object."""
+    """Two instances compete for one lease object."""
 
     def __init__(self):
         """Start without a lease object."""
@@ -52,25 +52,28 @@
         ]
         self.pending = [None, None]
 
-    @rule(who=st.integers(0, 1))
-    def read(self, who):
+    @rule(instance=st.integers(0, 1))
+    def read(self, instance):
         """Read the lease object."""
-        logic = self.logics[who]
+        logic = self.logics[instance]
         if logic.fence(self.now_s) is None:
             logic.observe(self.record, self.version, self.now_s)
 
-    @rule(who=st.integers(0, 1))
-    def decide(self, who):
-        """Decide on a write; it may reach the store much later."""
-        self.pending[who] = self.logics[who].next_write(self.now_s)
+    @rule(instance=st.integers(0, 1))
+    def decide(self, instance):
+        """Decide on a write, which may reach the store much later."""
+        self.pending[instance] = self.logics[instance].next_write(self.now_s)
 
-    @rule(who=st.integers(0, 1), lost=st.booleans())
-    def write(self, who, lost):
-        """Let a decided write reach the store, maybe unconfirmed."""
-        write, self.pending[who] = self.pending[who], None
+    @rule(instance=st.integers(0, 1), lost=st.booleans())
+    def write(self, instance, lost):
+        """Apply a decided write in the store.
+
+        :param lost: whether the store's confirmation is lost.
+        """
+        write, self.pending[instance] = self.pending[instance], None
         if write is None:
             return
-        logic = self.logics[who]
+        logic = self.logics[instance]
         if write.version != self.version:
             logic.write_failed()
             return
@@ -84,18 +87,18 @@
 
     @rule(step=st.floats(0.1, 20))
     def wait(self, step):
-        """Let time pass, as for a paused process."""
+        """Advance the clock, up to a process pause longer than the lease."""
         self.now_s += step
 
     @invariant()
     def one_holder(self):
-        """Two instances never both believe that they hold the lease."""
+        """At most one instance considers itself the holder."""
         fences = [logic.fence(self.now_s) for logic in self.logics]
         assert fences.count(None) >= 1
 
     @invariant()
     def holder_has_the_highest_fence(self):
-        """Who believes to hold the lease has the latest number."""
+        """The holder has the highest fencing number written so far."""
         for logic in self.logics:
             fence = logic.fence(self.now_s)
             assert fence is None or fence == self.last_fence
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Test the members' view over a simulated network with a logical clock."""
+"""Test membership over a simulated network with a logical clock."""
 
 import random
 
@@ -25,10 +25,15 @@
 
 
 class Network:
-    """Run members over a network that can lose packets one way."""
+    """Members on a network that can lose packets in one direction.
+
+    :ivar lost: pairs of sender and receiver whose packets are lost.
+    :ivar stopped: names of members that are killed or paused.
+    :ivar packets: number of packets sent.
+    """
 
     def __init__(self, count, seed=1):
-        """Start members that all know the instance list."""
+        """Start members that all have read the list of instances."""
         self.now_s = 0.0
         self.names = [f'm{number}' for number in range(count)]
         self.lost = set()
@@ -41,7 +46,7 @@
             self.start(name)
 
     def start(self, name):
-        """Start a member, or replace it as a new incarnation."""
+        """Start a member, or restart it with a higher incarnation."""
         self.incarnation += 1
         self.stopped.discard(name)
         own = Member(name, name, incarnation=self.incarnation)
@@ -51,7 +56,7 @@
         self.members[name].apply(SeedsListed(seeds), self.now_s)
 
     def run(self, seconds):
-        """Let time pass for all members that run."""
+        """Advance the clock of all running members."""
         for _ in range(round(seconds / STEP_S)):
             self.now_s += STEP_S
             for name in self.names:
@@ -59,7 +64,7 @@
                     self.send(name, TimePassed())
 
     def send(self, name, event):
-        """Apply an event and deliver the packets that follow."""
+        """Apply an event to a member and deliver all resulting packets."""
         waiting = [(name, event)]
         while waiting:
             receiver, arrived = waiting.pop(0)
@@ -72,30 +77,30 @@
                     )
 
     def reaches(self, sender, receiver):
-        """Tell whether a packet arrives."""
+        """Return whether a packet arrives."""
         return receiver not in self.stopped and (
             (sender, receiver) not in self.lost
         )
 
     def live(self, name):
-        """Return the names that a member holds for live."""
+        """Return the names of the members that a member considers live."""
         return {member.name for member in self.members[name].live}
 
 
 class TestMembership:
-    """Test joining, death, refutation and leaving."""
+    """Test joining, failure detection, refutation and leaving."""
 
     @pytest.mark.parametrize('count', [2, 8, 32])
-    def test_all_meet(self, count):
-        """Members find each other from the list."""
+    def test_members_discover_each_other(self, count):
+        """Members discover each other from the list."""
         network = Network(count)
         network.run(4)
         for name in network.names:
             assert network.live(name) == set(network.names)
 
     @pytest.mark.parametrize('count', [3, 8])
-    def test_dead_member_is_noticed(self, count):
-        """A killed member is gone from every view."""
+    def test_dead_member_is_detected(self, count):
+        """A killed member is no longer live for any other."""
         network = Network(count)
         network.run(4)
         network.stopped.add('m0')
@@ -104,7 +109,7 @@
             assert 'm0' not in network.live(name)
 
     def test_one_way_loss_does_not_kill(self):
-        """A member that one other cannot reach stays live for all."""
+        """A member that only one other cannot reach stays live."""
         network = Network(8)
         network.run(4)
         network.lost.add(('m0', 'm1'))
@@ -116,26 +121,26 @@
         network.run(4)
         assert network.live('m0') == set(network.names)
 
-    def test_split_heals(self):
-        """Two halves that lost each other meet again."""
+    def test_partitions_merge(self):
+        """Two partitions merge once the network between them is restored."""
         network = Network(6)
         network.run(4)
-        halves = (network.names[:3], network.names[3:])
+        partitions = (network.names[:3], network.names[3:])
         network.lost = {
             pair
-            for one in halves[0]
-            for other in halves[1]
+            for one in partitions[0]
+            for other in partitions[1]
             for pair in ((one, other), (other, one))
         }
         network.run(8)
-        assert network.live('m0') == set(halves[0])
+        assert network.live('m0') == set(partitions[0])
         network.lost.clear()
         network.run(8)
         for name in network.names:
             assert network.live(name) == set(network.names)
 
-    def test_paused_member_comes_back(self):
-        """A member that was paused past its death refutes it."""
+    def test_paused_member_refutes_its_death(self):
+        """A member that was declared dead while paused refutes it."""
         network = Network(5)
         network.run(4)
         network.stopped.add('m2')
@@ -145,22 +150,22 @@
         for name in network.names:
             assert network.live(name) == set(network.names)
 
-    def test_replaced_member_is_a_new_incarnation(self):
-        """A restart at the same address takes over the name at once."""
+    def test_restarted_member_has_new_incarnation(self):
+        """A member restarted at the same address replaces the old one."""
         network = Network(5)
         network.run(4)
         network.start('m3')
         network.run(4)
-        wanted = network.members['m3'].own.incarnation
+        expected = network.members['m3'].own.incarnation
         for name in network.names:
-            told = {
+            incarnations = {
                 member.name: member.incarnation
                 for member in network.members[name].live
             }
-            assert told['m3'] == wanted
+            assert incarnations['m3'] == expected
 
-    def test_leaving_member_serves_no_more(self):
-        """Who leaves is no address to give, but not dead."""
+    def test_leaving_member_is_not_serving(self):
+        """A leaving member is no longer serving, but still live."""
         network = Network(5)
         network.run(4)
         network.send('m1', OwnStateChanged(leaving=True, tree_version=0))
@@ -171,7 +176,7 @@
             assert 'm1' in network.live(name)
 
     def test_tree_version_spreads(self):
-        """A version told by one member reaches all with the heartbeats."""
+        """A tree version announced by one member reaches all others."""
         network = Network(32)
         network.run(4)
         network.send('m7', OwnStateChanged(leaving=False, tree_version=9))
@@ -184,7 +189,7 @@
             assert versions['m7'] == 9
 
     def test_packets_do_not_grow_with_members(self):
-        """Each member sends as much whatever the number of members."""
+        """The packet rate of a member does not depend on their number."""
         rates = []
         for count in (8, 32, 64):
             network = Network(count)
@@ -196,7 +201,7 @@
 
 
 class MembershipMachine(RuleBasedStateMachine):
-    """Break a network at random; once healed, all views must agree."""
+    """Random faults, after which all running members must agree."""
 
     @initialize(seed=st.integers(0, 1000))
     def start(self, seed):
@@ -211,28 +216,28 @@
 
     @rule(name=st.integers(0, 4))
     def replace(self, name):
-        """Start a member anew."""
+        """Restart a member with a higher incarnation."""
         self.network.start(f'm{name}')
 
     @rule(name=st.integers(0, 4))
-    def wake(self, name):
-        """Wake a paused member."""
+    def resume(self, name):
+        """Resume a stopped member."""
         self.network.stopped.discard(f'm{name}')
 
     @rule(one=st.integers(0, 4), other=st.integers(0, 4))
     def lose(self, one, other):
-        """Lose all packets one way."""
+        """Start to lose all packets from one member to another."""
         self.network.lost.add((f'm{one}', f'm{other}'))
 
     @rule(seconds=st.sampled_from((0.2, 1.0, 3.0)))
     def wait(self, seconds):
-        """Let time pass."""
+        """Advance the clock."""
         self.network.run(seconds)
 
     @precondition(lambda self: len(self.network.stopped) < 5)
     @rule()
     def heal(self):
-        """Heal the network: whoever runs is live for all others."""
+        """Stop the packet loss; then exactly the running members are live."""
         self.network.lost.clear()
         self.network.run(10)
         running = set(self.network.names) - self.network.stopped
