--- a/src/siskinpass/process/claims.py
+++ b/src/siskinpass/process/claims.py
@@ -127,7 +127,8 @@
     ) -> None:
         """Write the outcome of a claimed request.
 
-        A failed write is retried in the background.
+        A failed write is retried in the background, unless the stored claim has
+        changed.
 
         :param status: HTTP status of the response, 0 for none.
         :param body: body of the response; one above the limit is not stored,
--- a/src/siskinpass/process/dispatcher.py
+++ b/src/siskinpass/process/dispatcher.py
@@ -196,7 +196,7 @@
         if client.broker != broker or not client.is_attached_to(session):
             return
         self._log.warn(
-            'Lost the session with a broker; using a local fallback.',
+            'Lost the session with a broker.',
             broker=broker,
         )
         self._unreachable[broker] = self._loop.time() + UNREACHABLE_TTL_S
--- a/src/siskinpass/process/lease.py
+++ b/src/siskinpass/process/lease.py
@@ -96,10 +96,10 @@
     def next_write(self, now_s: float) -> LeaseWrite | None:
         """Return the write to attempt now.
 
-        Without a lease object it creates one, while the lease is held it renews
-        it, and after another holder's lease has expired it takes it over.
+        It creates a missing lease object, renews the lease while it is held, or
+        takes over an expired one.
 
-        :returns: None while another instance may hold the lease.
+        :returns: None while a lease that is not held has not expired.
         """
         record = self._record
         if record is None:
