--- a/src/siskinpass/process/claims.py
+++ b/src/siskinpass/process/claims.py
@@ -1,4 +1,4 @@
-"""Claim requests that must run at most once, in the object store."""
+"""Claims in the object store, so that a request runs at most once per key."""
 
 import asyncio
 import hashlib
@@ -29,20 +29,24 @@
     decide_claim,
 )
 
-OPEN_S = 60.0
+OPEN_CLAIM_S = 60.0
 EXPIRY_S = 86_400.0
-RETRY_S = 1.0
-COLLECT_EVERY_S = 600.0
-RETRY_MS = 1000
-UNSETTLED_MOST = 2000
-CREATE_TRIES = 3
+WRITE_RETRY_S = 1.0
+EXPIRY_INTERVAL_S = 600.0
+RETRY_AFTER_MS = 1000
+MAX_UNSETTLED = 2000
+CREATE_ATTEMPTS = 3
 PREFIX = 'claims/'
 DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class HeldClaim:
-    """Hold a claim that this request may run under."""
+    """A claim that allows its request to run.
+
+    :param key: key of the claim object in the store.
+    :param version: store's version of the object, 0 where unknown.
+    """
 
     key: str
     claim: Claim
@@ -51,44 +55,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """Hold the stored answer of an earlier request with the same key."""
+    """Stored response of an earlier request with the same idempotency key."""
 
     status: int
     body: bytes
 
 
 class Lease(Protocol):
-    """Tell whether a lease is held."""
+    """A lease that this instance may hold."""
 
     @property
     def fence(self) -> int | None:
-        """Return the fencing number while the lease is held."""
+        """Return the fencing number, or None if the lease is not held."""
 
 
 class Claims:
-    """Make claims, settle them, and collect the expired ones."""
+    """Acquires and settles claims, and deletes expired ones."""
 
     def __init__(
         self,
         store: Store,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        """Start with nothing to settle."""
+        """Start without claims.
+
+        :param wall_clock: returns Unix time in seconds, as claims are read by
+            other instances.
+        """
         self._store = store
         self._wall_clock = wall_clock
-        self._unsettled: deque[HeldClaim] = deque(maxlen=UNSETTLED_MOST)
+        self._unsettled: deque[HeldClaim] = deque(maxlen=MAX_UNSETTLED)
         self._log = PartLog('claim')
 
     @property
     def unsettled(self) -> int:
-        """Return how many outcomes still have to be written."""
+        """Return the number of outcomes that are still to be written."""
         return len(self._unsettled)
 
-    async def make(self, call: Call) -> HeldClaim | Replay:
-        """Claim a call by its key, or return the answer it already had.
+    async def acquire(self, call: Call) -> HeldClaim | Replay:
+        """Claim a call by its idempotency key.
 
-        :raises RefusedError: where the store does not answer; nothing ran.
-        :raises RequestError: where the key is taken, with the code why.
+        :returns: the claim under which the call may run, or the stored response
+            if it already ran.
+        :raises RefusedError: if the store is unreachable; the call did not run.
+        :raises RequestError: if another request has claimed the key; its code
+            gives the reason.
         """
         key = claim_key(call)
         claim = Claim(
@@ -97,14 +108,14 @@
             ClaimState.open,
             self._wall_clock(),
         )
-        for _ in range(CREATE_TRIES):
+        for _ in range(CREATE_ATTEMPTS):
             try:
-                return await self._try_make(key, claim)
+                return await self._try_acquire(key, claim)
             except StoreUnconfirmedError:
                 continue
             except StoreError as error:
                 raise _store_down(str(error)) from error
-        self._settle_later(HeldClaim(key, claim, 0))
+        self._queue_write(HeldClaim(key, claim, 0))
         raise _store_down('the claim could not be confirmed')
 
     async def settle(
@@ -114,7 +125,15 @@
         status: int = 0,
         body: bytes = b'',
     ) -> None:
-        """Write how a claimed request ended; a failed write is repeated."""
+        """Write the outcome of a claimed request.
+
+        A failed write is retried in the background, unless the stored claim has
+        changed.
+
+        :param status: HTTP status of the response, 0 for none.
+        :param body: body of the response; one above the limit is not stored,
+            and neither is its status.
+        """
         if len(body) > MAX_STORED_BODY_BYTES:
             status, body = 0, b''
         settled = replace(
@@ -123,31 +142,31 @@
             status=status,
             body=body.decode(errors='replace'),
         )
-        await self._write_or_keep(replace(held, claim=settled))
+        await self._write_or_queue(replace(held, claim=settled))
 
     async def run(self) -> None:
-        """Repeat the writes that failed."""
+        """Retry failed writes until cancelled."""
         while True:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(WRITE_RETRY_S)
             waiting = tuple(self._unsettled)
             self._unsettled.clear()
             for held in waiting:
-                await self._write_or_keep(held)
+                await self._write_or_queue(held)
 
-    async def run_collection(self, lease: Lease) -> None:
-        """Collect expired claims while a lease is held."""
+    async def run_expiry(self, lease: Lease) -> None:
+        """Delete expired claims periodically, only while the lease is held."""
         while True:
-            await asyncio.sleep(COLLECT_EVERY_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             if lease.fence is None:
                 continue
             with suppress(StoreError):
-                removed = await self.collect()
-                self._log.note('Collected expired claims.', removed=removed)
+                removed = await self.delete_expired()
+                self._log.note('Deleted expired claims.', removed=removed)
 
-    async def collect(self) -> int:
-        """Remove expired claims and return how many there were."""
+    async def delete_expired(self) -> int:
+        """Delete expired claims and return their number."""
         removed = 0
-        for key in await self._store.names(PREFIX):
+        for key in await self._store.list_keys(PREFIX):
             stored = await self._store.read(key)
             if stored is None:
                 continue
@@ -157,24 +176,30 @@
                 removed += 1
         return removed
 
-    async def _try_make(self, key: str, claim: Claim) -> HeldClaim | Replay:
+    async def _try_acquire(self, key: str, claim: Claim) -> HeldClaim | Replay:
         try:
             version = await self._store.create(key, claim.dump())
         except StoreConflictError:
-            return await self._take_found(key, claim)
+            return await self._handle_existing(key, claim)
         return HeldClaim(key, claim, version)
 
-    async def _take_found(self, key: str, claim: Claim) -> HeldClaim | Replay:
+    async def _handle_existing(
+        self, key: str, claim: Claim
+    ) -> HeldClaim | Replay:
         stored = await self._store.read(key)
         if stored is None:
-            raise StoreUnconfirmedError(Code.edit_unconfirmed, 'claim is gone')
+            raise StoreUnconfirmedError(
+                Code.edit_unconfirmed, 'claim not found'
+            )
         found = Claim.load(stored.body)
         age_s = self._wall_clock() - found.written_s
-        decision = decide_claim(found, claim.nonce, claim.digest, age_s, OPEN_S)
+        decision = decide_claim(
+            found, claim.nonce, claim.digest, age_s, OPEN_CLAIM_S
+        )
         if decision.action is ClaimAction.replay:
             return Replay(found.status, found.body.encode())
         if decision.action is ClaimAction.refuse:
-            raise RequestError(decision.code, '', RETRY_MS)
+            raise RequestError(decision.code, '', RETRY_AFTER_MS)
         if decision.action is ClaimAction.run:
             return HeldClaim(key, claim, stored.version)
         try:
@@ -187,20 +212,26 @@
             raise RequestError(
                 Code.claim_in_progress,
                 '',
-                RETRY_MS,
+                RETRY_AFTER_MS,
             ) from error
         return HeldClaim(key, claim, version)
 
-    async def _write_or_keep(self, held: HeldClaim) -> None:
+    async def _write_or_queue(self, held: HeldClaim) -> None:
         try:
             await self._write(held)
         except StoreConflictError:
-            self._log.warn('A claim changed under its holder.', key=held.key)
+            self._log.warn(
+                'A claim changed before its outcome was written.', key=held.key
+            )
         except StoreError:
-            self._settle_later(held)
+            self._queue_write(held)
 
     async def _write(self, held: HeldClaim) -> None:
-        """Write an outcome; find one's own claim by its nonce if need be."""
+        """Write an outcome.
+
+        If the version is unknown, the stored claim is replaced only if it has
+        the nonce of this claim.
+        """
         version = held.version
         if not version:
             stored = await self._store.read(held.key)
@@ -211,9 +242,9 @@
             version = stored.version
         await self._store.replace(held.key, held.claim.dump(), version)
 
-    def _settle_later(self, held: HeldClaim) -> None:
-        # A write whose confirmation was lost has changed the version, so the
-        # repeat looks for the claim by its nonce.
+    def _queue_write(self, held: HeldClaim) -> None:
+        # An unconfirmed write may have changed the version, so the retry
+        # identifies the claim by its nonce.
         claim = held.claim
         if claim.state is ClaimState.open:
             claim = replace(claim, state=ClaimState.not_run)
@@ -221,7 +252,10 @@
 
 
 def claim_key(call: Call) -> str:
-    """Return the object that holds the claim of a call's key."""
+    """Return the key of the claim object for a call.
+
+    It is a hash of the workspace and the call's idempotency key.
+    """
     text = f'{call.workspace}\n{call.idempotency_key}'
     digest = hashlib.blake2b(
         text.encode(), digest_size=DIGEST_BYTES
@@ -230,4 +264,4 @@
 
 
 def _store_down(detail: str) -> RefusedError:
-    return RefusedError(Code.claim_store_down, detail, RETRY_MS)
+    return RefusedError(Code.claim_store_down, detail, RETRY_AFTER_MS)
--- a/src/siskinpass/process/membership.py
+++ b/src/siskinpass/process/membership.py
@@ -1,9 +1,10 @@
-"""Keep the set of live entry instances by heartbeats and gossip.
+"""Track the live instances with heartbeats and gossip.
 
-Pure logic in the manner of SWIM (Das, Gupta, Motivala, 2002): each period an
-instance probes one other, asks a few to probe it where no answer comes, and
-carries news of members on the packets that it sends anyway. The messages a
-period are the same whatever the number of instances.
+Pure logic without I/O, after SWIM (Das, Gupta, Motivala, 2002). In each
+interval an instance probes one other; if no ack arrives, it asks a few others
+to probe it too. Changes of member states are piggybacked on these packets. The
+number of packets that an instance sends per interval does not depend on the
+number of instances.
 """
 
 import random
@@ -14,21 +15,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipPolicy:
-    """Set the rhythm of the heartbeats, in seconds.
-
-    :param period_s: time between probes.
-    :param ack_s: wait for an answer before others are asked.
-    :param suspect_s: time from suspicion to death.
-    :param forget_s: time that a dead member is remembered.
-    :param helpers: members asked to probe in our place.
-    :param news: members told of on one packet.
+    """Configuration of the failure detector.
+
+    :param probe_interval_s: time between probes.
+    :param ack_timeout_s: wait for an ack before others are asked to probe.
+    :param suspect_timeout_s: time after which a suspect is declared dead.
+    :param forget_after_s: time after which a dead member is removed.
+    :param indirect_probes: number of other members that are asked to probe.
+    :param news: maximum number of member states piggybacked on a packet, not
+        counting the state of its receiver.
     """
 
-    period_s: float = 0.2
-    ack_s: float = 0.1
-    suspect_s: float = 0.8
-    forget_s: float = 60.0
-    helpers: int = 2
+    probe_interval_s: float = 0.2
+    ack_timeout_s: float = 0.1
+    suspect_timeout_s: float = 0.8
+    forget_after_s: float = 60.0
+    indirect_probes: int = 2
     news: int = 6
 
 
@@ -37,20 +39,24 @@
 LEAVING = 2
 DEAD = 3
 
-NEWS_REPEATS = 8
-JOIN_TARGETS = 3
+# Number of packets on which each change of a member's state is sent.
+UPDATE_REPEATS = 8
+MAX_SEED_PINGS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """Describe one member as it is told in gossip.
-
-    :param incarnation: start time of its process in ms; a replaced instance
-        has a higher one.
+    """State of one member, as exchanged by gossip.
+
+    :param peer_address: ``ip:port`` of its heartbeats.
+    :param caller_address: ``ip:port`` at which it serves callers.
+    :param zone: availability zone.
+    :param incarnation: start time of its process in Unix ms; a restarted or
+        replaced instance has a higher one.
+    :param counter: incremented only by the member itself, to refute a suspicion
+        and on every change of its own state.
     :param state: 0 alive, 1 suspect, 2 leaving, 3 dead.
-    :param counter: raised by the member itself to refute a suspicion and on
-        every change of what it tells of itself.
-    :param tree_version: version of the tree in force there.
+    :param tree_version: number of the settings tree's version in force there.
     """
 
     name: str
@@ -63,19 +69,21 @@
     tree_version: int = 0
 
     @property
-    def age_rank(self) -> tuple[int, int, int]:
-        """Return what orders two tellings of the same member."""
+    def precedence(self) -> tuple[int, int, int]:
+        """Return a sort key: of two states of a member, the greater wins."""
         return (self.incarnation, self.counter, self.state)
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """Carry one heartbeat and some news.
-
-    :param kind: ``ping``, ``ack`` or ``ask``.
-    :param sequence: pairs an answer with its probe.
-    :param target: member to probe for the sender of an ``ask``, or the
-        member that an ``ack`` speaks for.
+    """One heartbeat with piggybacked member states.
+
+    :param kind: ``ping``, ``ack``, or ``ask`` for an indirect probe.
+    :param sender: the sender's own state.
+    :param sequence: matches an ack to its probe; 0 if the ack is not awaited.
+    :param news: states of other members.
+    :param target: for an ``ask``, the member to probe; for an ``ack``, the
+        member that answered an indirect probe, empty for the sender itself.
     """
 
     kind: str
@@ -87,26 +95,29 @@
 
 @dataclass(frozen=True, slots=True)
 class PacketArrived:
-    """A packet came from the network."""
+    """A packet was received."""
 
     packet: Packet
 
 
 @dataclass(frozen=True, slots=True)
 class SeedsListed:
-    """The instance list told of instances."""
+    """The list of instances was read.
+
+    :param members: all listed instances; replaces the earlier list.
+    """
 
     members: tuple[Member, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Time passed."""
+    """A periodic tick, on which time-outs are checked and probes are sent."""
 
 
 @dataclass(frozen=True, slots=True)
-class SelfChanged:
-    """What this instance tells of itself changed."""
+class OwnStateChanged:
+    """The state that this instance announces of itself changed."""
 
     leaving: bool
     tree_version: int
@@ -114,7 +125,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPacket:
-    """Send a packet to an address."""
+    """A packet is to be sent.
+
+    :param address: ``ip:port``.
+    """
 
     address: str
     packet: Packet
@@ -122,7 +136,12 @@
 
 @dataclass(slots=True)
 class _Probe:
-    """Track the probe of this period."""
+    """The probe of the current interval.
+
+    :param target: name of the probed member.
+    :param asked: whether other members were asked to probe it too.
+    :param answered: whether a direct or indirect ack arrived.
+    """
 
     target: str
     sequence: int
@@ -133,51 +152,55 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """Hold a member and when its state began."""
+    """A known member.
+
+    :param since_s: when it entered its current state.
+    :param repeats_left: number of packets on which it is still to be sent.
+    """
 
     member: Member
     since_s: float
-    repeats: int = NEWS_REPEATS
+    repeats_left: int = UPDATE_REPEATS
 
 
 class Membership:
-    """Track members and decide what to send."""
+    """The members known to this instance, and the probing of them."""
 
     def __init__(
         self,
         own: Member,
         policy: MembershipPolicy,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Start with only this instance known."""
+        """Start with this instance as the only member."""
         self._own = own
         self._policy = policy
-        self._chance = chance
+        self._rng = rng
         self._entries: dict[str, _Entry] = {}
-        self._round: list[str] = []
+        self._probe_order: list[str] = []
         self._probe: _Probe | None = None
-        self._relayed: dict[int, tuple[str, int]] = {}
+        self._indirect: dict[int, tuple[str, int]] = {}
         self._sequence = 0
         self._next_probe_s = 0.0
         self._seeds: tuple[Member, ...] = ()
         self._now_s = 0.0
-        self._out: list[SendPacket] = []
-        self._own_repeats = NEWS_REPEATS
+        self._outgoing: list[SendPacket] = []
+        self._own_repeats = UPDATE_REPEATS
 
     @property
     def own(self) -> Member:
-        """Return what this instance tells of itself."""
+        """Return the state that this instance announces of itself."""
         return self._own
 
     @property
     def members(self) -> list[Member]:
-        """Return all known members, this instance among them."""
+        """Return all known members, including this instance and dead ones."""
         known = [entry.member for entry in self._entries.values()]
         return [self._own, *known]
 
     @property
     def live(self) -> list[Member]:
-        """Return the members that are not dead, suspects included."""
+        """Return the members that are not dead, including suspects."""
         return [member for member in self.members if member.state != DEAD]
 
     @property
@@ -191,37 +214,41 @@
 
     def apply(
         self,
-        event: PacketArrived | SeedsListed | TimePassed | SelfChanged,
+        event: PacketArrived | SeedsListed | TimePassed | OwnStateChanged,
         now_s: float,
     ) -> list[SendPacket]:
-        """Take in one event and return the packets to send."""
+        """Apply one event and return the packets to send.
+
+        :param now_s: monotonic clock in seconds; a reading earlier than the
+            previous one is ignored.
+        """
         self._now_s = max(self._now_s, now_s)
-        self._take(event)
-        out, self._out = self._out, []
-        return out
+        self._apply_event(event)
+        outgoing, self._outgoing = self._outgoing, []
+        return outgoing
 
     @singledispatchmethod
-    def _take(self, event: object) -> None:
+    def _apply_event(self, event: object) -> None:
         raise TypeError(event)
 
-    @_take.register
-    def _arrive(self, event: PacketArrived) -> None:
+    @_apply_event.register
+    def _handle_packet(self, event: PacketArrived) -> None:
         packet = event.packet
-        self._learn((packet.sender, *packet.news))
+        self._merge_all((packet.sender, *packet.news))
         if packet.kind == 'ping':
             self._send(packet.sender, 'ack', packet.sequence)
         elif packet.kind == 'ask':
-            self._probe_for(packet)
+            self._probe_on_request(packet)
         else:
-            self._take_ack(packet)
+            self._handle_ack(packet)
 
-    @_take.register
-    def _list(self, event: SeedsListed) -> None:
+    @_apply_event.register
+    def _handle_seeds(self, event: SeedsListed) -> None:
         own = self._own.name
         self._seeds = tuple(seed for seed in event.members if seed.name != own)
 
-    @_take.register
-    def _change(self, event: SelfChanged) -> None:
+    @_apply_event.register
+    def _handle_own_change(self, event: OwnStateChanged) -> None:
         self._own = replace(
             self._own,
             counter=self._own.counter + 1,
@@ -233,50 +260,50 @@
                 if entry.member.state != DEAD:
                     self._send(entry.member, 'ping', 0)
 
-    @_take.register
-    def _pass_time(self, event: TimePassed) -> None:
-        self._age_members()
-        self._ask_helpers()
+    @_apply_event.register
+    def _handle_tick(self, event: TimePassed) -> None:
+        self._expire_members()
+        self._request_indirect_probes()
         if self._now_s >= self._next_probe_s:
-            self._close_probe()
-            self._next_probe_s = self._now_s + self._policy.period_s
-            self._join()
+            self._finish_probe()
+            self._next_probe_s = self._now_s + self._policy.probe_interval_s
+            self._ping_missing_seeds()
             self._start_probe()
 
-    def _learn(self, told: Iterable[Member]) -> None:
-        for member in told:
+    def _merge_all(self, reports: Iterable[Member]) -> None:
+        for member in reports:
             if member.name == self._own.name:
                 self._refute(member)
             else:
-                self._learn_one(member)
+                self._merge(member)
 
-    def _learn_one(self, member: Member) -> None:
+    def _merge(self, member: Member) -> None:
         known = self._entries.get(member.name)
         if known is None:
             if member.state != DEAD:
                 self._entries[member.name] = _Entry(member, self._now_s)
             return
-        if member.age_rank > known.member.age_rank:
+        if member.precedence > known.member.precedence:
             if member.state == known.member.state:
                 known.member = member
-                known.repeats = NEWS_REPEATS
+                known.repeats_left = UPDATE_REPEATS
             else:
                 self._entries[member.name] = _Entry(member, self._now_s)
 
-    def _refute(self, told: Member) -> None:
-        same = told.incarnation == self._own.incarnation
-        wrong = told.state in {SUSPECT, DEAD}
-        if same and wrong and told.counter >= self._own.counter:
-            self._own = replace(self._own, counter=told.counter + 1)
+    def _refute(self, report: Member) -> None:
+        same = report.incarnation == self._own.incarnation
+        wrong = report.state in {SUSPECT, DEAD}
+        if same and wrong and report.counter >= self._own.counter:
+            self._own = replace(self._own, counter=report.counter + 1)
 
-    def _age_members(self) -> None:
+    def _expire_members(self) -> None:
         policy = self._policy
         for name, entry in tuple(self._entries.items()):
             age_s = self._now_s - entry.since_s
             state = entry.member.state
-            if state == SUSPECT and age_s >= policy.suspect_s:
+            if state == SUSPECT and age_s >= policy.suspect_timeout_s:
                 self._set_state(name, DEAD)
-            elif state == DEAD and age_s >= policy.forget_s:
+            elif state == DEAD and age_s >= policy.forget_after_s:
                 self._entries.pop(name)
 
     def _set_state(self, name: str, state: int) -> None:
@@ -284,11 +311,11 @@
         member = replace(entry.member, state=state)
         self._entries[name] = _Entry(member, self._now_s)
 
-    def _ask_helpers(self) -> None:
+    def _request_indirect_probes(self) -> None:
         probe = self._probe
         if probe is None or probe.answered or probe.asked:
             return
-        if self._now_s - probe.sent_s < self._policy.ack_s:
+        if self._now_s - probe.sent_s < self._policy.ack_timeout_s:
             return
         probe.asked = True
         others = [
@@ -296,11 +323,11 @@
             for name, entry in self._entries.items()
             if name != probe.target and entry.member.state in {ALIVE, LEAVING}
         ]
-        count = min(self._policy.helpers, len(others))
-        for helper in self._chance.sample(others, count):
+        count = min(self._policy.indirect_probes, len(others))
+        for helper in self._rng.sample(others, count):
             self._send(helper, 'ask', probe.sequence, probe.target)
 
-    def _close_probe(self) -> None:
+    def _finish_probe(self) -> None:
         probe, self._probe = self._probe, None
         if probe is None or probe.answered:
             return
@@ -320,48 +347,48 @@
 
     def _next_target(self) -> Member | None:
         while True:
-            if not self._round:
-                self._round = [
+            if not self._probe_order:
+                self._probe_order = [
                     name
                     for name, entry in self._entries.items()
                     if entry.member.state != DEAD
                 ]
-                self._chance.shuffle(self._round)
-            if not self._round:
+                self._rng.shuffle(self._probe_order)
+            if not self._probe_order:
                 return None
-            entry = self._entries.get(self._round.pop())
+            entry = self._entries.get(self._probe_order.pop())
             if entry is not None and entry.member.state != DEAD:
                 return entry.member
 
-    def _join(self) -> None:
-        """Greet listed instances that are not known to live."""
-        strangers = [
+    def _ping_missing_seeds(self) -> None:
+        """Ping a few listed instances that are unknown or considered dead."""
+        missing = [
             seed
             for seed in self._seeds
             if seed.name not in self._entries
             or self._entries[seed.name].member.state == DEAD
         ]
-        count = min(JOIN_TARGETS, len(strangers))
-        for seed in self._chance.sample(strangers, count):
+        count = min(MAX_SEED_PINGS, len(missing))
+        for seed in self._rng.sample(missing, count):
             self._send(seed, 'ping', 0)
 
-    def _probe_for(self, packet: Packet) -> None:
+    def _probe_on_request(self, packet: Packet) -> None:
         entry = self._entries.get(packet.target)
         if entry is None:
             return
         self._sequence += 1
-        if len(self._relayed) > 100:
-            self._relayed.clear()
-        self._relayed[self._sequence] = (packet.sender.name, packet.sequence)
+        if len(self._indirect) > 100:
+            self._indirect.clear()
+        self._indirect[self._sequence] = (packet.sender.name, packet.sequence)
         self._send(entry.member, 'ping', self._sequence)
 
-    def _take_ack(self, packet: Packet) -> None:
-        relay = self._relayed.pop(packet.sequence, None)
-        if relay is not None:
-            asker = self._entries.get(relay[0])
-            if asker is not None:
-                speaks_for = packet.sender.name
-                self._send(asker.member, 'ack', relay[1], speaks_for)
+    def _handle_ack(self, packet: Packet) -> None:
+        request = self._indirect.pop(packet.sequence, None)
+        if request is not None:
+            requester = self._entries.get(request[0])
+            if requester is not None:
+                subject = packet.sender.name
+                self._send(requester.member, 'ack', request[1], subject)
             return
         probe = self._probe
         if probe and probe.sequence == packet.sequence:
@@ -375,23 +402,30 @@
         sequence: int,
         target: str = '',
     ) -> None:
-        packet = Packet(kind, self._own, sequence, self._news(receiver), target)
-        self._out.append(SendPacket(receiver.peer_address, packet))
+        packet = Packet(
+            kind, self._own, sequence, self._select_news(receiver), target
+        )
+        self._outgoing.append(SendPacket(receiver.peer_address, packet))
 
-    def _news(self, receiver: Member) -> tuple[Member, ...]:
-        """Return the least often repeated news, and the receiver's own state.
+    def _select_news(self, receiver: Member) -> tuple[Member, ...]:
+        """Return the member states that were sent least often.
 
-        A suspect has to hear of its suspicion in order to refute it.
+        A suspect or dead receiver also gets its own state, since it can refute
+        only a suspicion that it knows of.
         """
-        fresh = sorted(
-            (entry for entry in self._entries.values() if entry.repeats > 0),
-            key=lambda entry: entry.repeats,
+        selected = sorted(
+            (
+                entry
+                for entry in self._entries.values()
+                if entry.repeats_left > 0
+            ),
+            key=lambda entry: entry.repeats_left,
             reverse=True,
         )[: self._policy.news]
-        for entry in fresh:
-            entry.repeats -= 1
-        told = [entry.member for entry in fresh]
+        for entry in selected:
+            entry.repeats_left -= 1
+        reports = [entry.member for entry in selected]
         known = self._entries.get(receiver.name)
         if known and known.member.state in {SUSPECT, DEAD}:
-            told.append(known.member)
-        return tuple(told)
+            reports.append(known.member)
+        return tuple(reports)
--- a/src/siskinpass/process/remote_port.py
+++ b/src/siskinpass/process/remote_session.py
@@ -1,7 +1,7 @@
-"""Speak to a broker at another instance over grpclib.
+"""Session with a broker at another instance, over grpclib.
 
-A broker session is one stream each way. Both sides send at least a heartbeat,
-so that a silent connection is noticed.
+A session is one bidirectional stream. Both ends send a heartbeat when they have
+nothing else to send, so that each can detect that the connection is lost.
 """
 
 import asyncio
@@ -11,40 +11,46 @@
 from contextlib import suppress
 
 from siskinpass.process import peer_pb2 as pb
-from siskinpass.process.broker_client import BrokerClient, Port
+from siskinpass.process.broker_client import BrokerClient, BrokerSession
 from siskinpass.process.codec import decode_command, encode_event
 from siskinpass.process.peer_grpc import PeerStub
 from siskinpass.process.session_wire import STREAM_ERRORS, Outbox
 from siskinpass.request.ticket import Event
 
-SILENT_S = 0.45
+SILENCE_TIMEOUT_S = 0.45
 
 
-class RemotePort:
-    """Speak to a broker at another instance."""
+class RemoteSession:
+    """Session with a broker at another instance."""
 
     def __init__(
         self,
         stub: PeerStub,
         own: str,
         broker_client: BrokerClient,
-        on_lost: Callable[[Port], None],
+        on_lost: Callable[[BrokerSession], None],
     ) -> None:
-        """Start the session; it reports its own end once."""
+        """Start to connect.
+
+        :param own: name of this instance.
+        :param broker_client: gets the broker's commands.
+        :param on_lost: called once, with this session, when it has ended other
+            than by :meth:`close`.
+        """
         self._stub = stub
         self._own = own
         self._broker_client = broker_client
         self._on_lost = on_lost
         self._outbox = Outbox()
-        self._unheard: deque[tuple[int, float]] = deque()
+        self._unacknowledged: deque[tuple[int, float]] = deque()
         self._task = asyncio.ensure_future(self._run())
 
     def send(self, events: list[Event]) -> None:
-        """Send events in order."""
+        """Queue events, which are sent in order."""
         self._outbox.put(events)
 
     def close(self) -> None:
-        """End the session."""
+        """End the session and cancel its stream."""
         self._task.cancel()
 
     async def _run(self) -> None:
@@ -65,7 +71,7 @@
             for sequence in itertools.count(1):
                 events = await self._outbox.take()
                 now_s = loop.time()
-                self._unheard.append((sequence, now_s))
+                self._unacknowledged.append((sequence, now_s))
                 await stream.send_message(
                     pb.EntryBatch(
                         entry=self._own,
@@ -79,9 +85,9 @@
 
     async def _receive(self, stream) -> None:
         while True:
-            async with asyncio.timeout(SILENT_S):
+            async with asyncio.timeout(SILENCE_TIMEOUT_S):
                 batch = await stream.recv_message()
-            if batch is None or not self._is_heard(batch.heard):
+            if batch is None or not self._handle_acknowledgement(batch.heard):
                 return
             if batch.messages:
                 self._broker_client.take(
@@ -92,15 +98,20 @@
                     ],
                 )
 
-    def _is_heard(self, sequence: int) -> bool:
-        """Tell whether the broker still hears this entry.
+    def _handle_acknowledgement(self, sequence: int) -> bool:
+        """Record an acknowledged batch.
+
+        A connection can lose the traffic of one direction only, so messages
+        from the broker do not prove that it receives those sent to it.
 
-        A connection can go silent one way; what the broker sends proves
-        nothing of what it receives.
+        :returns: whether all batches older than ``SILENCE_TIMEOUT_S`` are
+            acknowledged.
         """
-        while self._unheard and self._unheard[0][0] <= sequence:
-            self._unheard.popleft()
-        if not self._unheard:
+        while self._unacknowledged and self._unacknowledged[0][0] <= sequence:
+            self._unacknowledged.popleft()
+        if not self._unacknowledged:
             return True
-        waited_s = asyncio.get_running_loop().time() - self._unheard[0][1]
-        return waited_s < SILENT_S
+        waited_s = (
+            asyncio.get_running_loop().time() - self._unacknowledged[0][1]
+        )
+        return waited_s < SILENCE_TIMEOUT_S
--- a/src/siskinpass/process/lease_keeper.py
+++ b/src/siskinpass/process/store_lease.py
@@ -1,4 +1,4 @@
-"""Keep one lease in the object store."""
+"""Acquire and renew a lease in the object store."""
 
 import asyncio
 
@@ -7,40 +7,44 @@
 from siskinpass.process.logs import PartLog
 from siskinpass.process.store import Store
 
-LEASE = 'leases/status'
-LEASE_S = 6.0
+STATUS_LEASE_KEY = 'leases/status'
+LEASE_LENGTH_S = 6.0
 MARGIN_S = 1.5
-LEASE_EVERY_S = 2.0
+RENEWAL_INTERVAL_S = 2.0
 
 
-class LeaseKeeper:
-    """Keep trying for one lease in the object store."""
+class StoreLease:
+    """One lease in the object store, which this instance tries to hold."""
 
     def __init__(self, store: Store, key: str, own: str) -> None:
-        """Start without the lease."""
+        """Start without the lease.
+
+        :param key: key of the lease object.
+        :param own: identifies this instance and its incarnation as the holder.
+        """
         self._store = store
         self._key = key
-        self._logic = LeaseLogic(own, LEASE_S, MARGIN_S)
+        self._logic = LeaseLogic(own, LEASE_LENGTH_S, MARGIN_S)
         self._loop = asyncio.get_running_loop()
         self._log = PartLog('lease')
 
     @property
     def fence(self) -> int | None:
-        """Return the fencing number while the lease is held."""
+        """Return the fencing number, or None if the lease is not held."""
         return self._logic.fence(self._loop.time())
 
     async def run(self) -> None:
-        """Take, renew or wait for the lease for ever."""
+        """Acquire and renew the lease until cancelled."""
         while True:
             try:
                 await self._step()
             except StoreError:
-                self._logic.failed()
-            await asyncio.sleep(LEASE_EVERY_S)
+                self._logic.write_failed()
+            await asyncio.sleep(RENEWAL_INTERVAL_S)
 
     async def _step(self) -> None:
-        held = self.fence is not None
-        if not held:
+        was_held = self.fence is not None
+        if not was_held:
             stored = await self._store.read(self._key)
             record = LeaseRecord.load(stored.body) if stored else None
             version = stored.version if stored else 0
@@ -57,6 +61,6 @@
                 body,
                 write.version,
             )
-        self._logic.written(write, version)
-        if not held:
-            self._log.note('Took a lease.', fence=write.record.fence)
+        self._logic.write_confirmed(write, version)
+        if not was_held:
+            self._log.note('Acquired a lease.', fence=write.record.fence)
--- a/src/siskinpass/process/treewatch.py
+++ b/src/siskinpass/process/treewatch.py
@@ -1,7 +1,7 @@
-"""Follow the accepted versions of the tree.
+"""Keep the newest accepted version of the settings tree in force.
 
-A few instances watch the store; the others learn of a new version from the
-heartbeats and read it from the instance that told them.
+A few instances watch the store. The others learn of a new version from the
+heartbeats, and read it from an instance that announces it.
 """
 
 import asyncio
@@ -18,10 +18,10 @@
 from siskinpass.version.repository import TreeRepository, load_version
 from siskinpass.version.tree_version import CurrentVersion, TreeVersion
 
-WATCHERS = 2
-WATCH_S = 10.0
+WATCHER_COUNT = 2
+WATCH_TIMEOUT_S = 10.0
 RETRY_S = 0.5
-IDLE_S = 0.5
+WATCHER_CHECK_S = 0.5
 PEER_ERRORS = (
     GRPCError,
     StreamTerminatedError,
@@ -32,7 +32,7 @@
 
 
 class TreeWatch:
-    """Own the version in force at this instance."""
+    """The version in force at this instance, and the tasks that update it."""
 
     def __init__(
         self,
@@ -41,55 +41,62 @@
         links: PeerLinks,
         on_version: Callable[[TreeVersion], None],
     ) -> None:
-        """Start with no version in force."""
+        """Start with no version in force.
+
+        :param own: name of this instance.
+        :param links: channels to the other instances.
+        :param on_version: called with each version that is put in force.
+        """
         self._own = own
         self._repository = repository
         self._links = links
         self._on_version = on_version
-        self._book = CurrentVersion()
+        self._version = CurrentVersion()
         self._members: tuple[Member, ...] = ()
-        self._told = asyncio.Event()
+        self._newer_announced = asyncio.Event()
         self._stored_version = 0
         self._log = PartLog('tree')
 
     @property
     def book(self) -> CurrentVersion:
-        """Return the version in force."""
-        return self._book
+        """Return the holder of the version in force."""
+        return self._version
 
-    def take_members(self, members: tuple[Member, ...]) -> None:
-        """Take the live members and the versions that they told of."""
+    def update_members(self, members: tuple[Member, ...]) -> None:
+        """Replace the live members, with the versions in force there."""
         self._members = members
-        if any(member.tree_version > self._book.number for member in members):
-            self._told.set()
+        if any(
+            member.tree_version > self._version.number for member in members
+        ):
+            self._newer_announced.set()
 
     def adopt_if_newer(self, version: TreeVersion) -> None:
-        """Put a version in force if it is higher."""
-        if self._book.adopt_if_newer(version):
+        """Put a version in force if its number is higher than the current."""
+        if self._version.adopt_if_newer(version):
             self._log.note('A version is in force.', number=version.number)
             self._on_version(version)
 
     async def run(self) -> None:
-        """Follow the store and the peers for ever."""
+        """Follow the store and the other instances until cancelled."""
         await asyncio.gather(self._follow_store(), self._follow_peers())
 
     async def _follow_store(self) -> None:
         while True:
-            if not (self._is_watcher() or self._book.current is None):
-                await asyncio.sleep(IDLE_S)
+            if not (self._is_watcher() or self._version.current is None):
+                await asyncio.sleep(WATCHER_CHECK_S)
                 continue
             try:
                 await self._read_store()
             except StoreError:
                 await asyncio.sleep(RETRY_S)
             except TreeError as error:
-                self._log.warn('The stored tree has faults.', why=str(error))
+                self._log.warn('The stored tree is invalid.', why=str(error))
                 await asyncio.sleep(RETRY_S)
 
     async def _read_store(self) -> None:
-        if self._book.current is None:
+        if self._version.current is None:
             self._stored_version = 0
-        wait_s = WATCH_S if self._is_watcher() else 0.1
+        wait_s = WATCH_TIMEOUT_S if self._is_watcher() else 0.1
         stored = await self._repository.watch(self._stored_version, wait_s)
         if stored is None:
             await asyncio.sleep(RETRY_S)
@@ -103,17 +110,17 @@
 
     async def _follow_peers(self) -> None:
         while True:
-            await self._told.wait()
-            self._told.clear()
-            for member in self._ahead():
+            await self._newer_announced.wait()
+            self._newer_announced.clear()
+            for member in self._members_ahead():
                 if await self._read_peer(member):
                     break
-            if self._ahead():
+            if self._members_ahead():
                 await asyncio.sleep(RETRY_S)
-                self._told.set()
+                self._newer_announced.set()
 
-    def _ahead(self) -> list[Member]:
-        number = self._book.number
+    def _members_ahead(self) -> list[Member]:
+        number = self._version.number
         return [
             member
             for member in self._members
@@ -121,23 +128,23 @@
         ]
 
     async def _read_peer(self, member: Member) -> bool:
-        request = pb.TreeRequest(newer_than=self._book.number)
+        request = pb.TreeRequest(newer_than=self._version.number)
         try:
             stub = self._links.stub(member.name)
             reply = await stub.ReadTree(request, timeout=CALL_TIMEOUT_S)
         except PEER_ERRORS:
             self._links.drop(member.name)
             return False
-        if reply.version <= self._book.number:
+        if reply.version <= self._version.number:
             return False
         try:
             version = load_version(reply.version, reply.text)
         except TreeError as error:
-            self._log.warn('A peer told a faulty tree.', why=str(error))
+            self._log.warn('A peer sent an invalid tree.', why=str(error))
             return False
         self.adopt_if_newer(version)
         return True
 
     def _is_watcher(self) -> bool:
         names = {member.name for member in self._members} | {self._own}
-        return self._own in rank('tree', names)[:WATCHERS]
+        return self._own in rank('tree', names)[:WATCHER_COUNT]
