--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -31,7 +31,7 @@
         self._changed = asyncio.Condition()
         self.history_from = 0
         self.is_down = False
-        self.is_mute = False
+        self.stalls_watches = False
 
     async def put(self, kind: str, name: str, spec: Any) -> None:
         """Write an object as the operator or a worker does."""
@@ -98,7 +98,7 @@
                 )
         except TimeoutError:
             return self._told([])
-        if self.is_mute:
+        if self.stalls_watches:
             await asyncio.Event().wait()
         if self.is_down:
             raise HangUpError
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture
-def healed(cluster):
+def restored(cluster):
     """Give the shared deployment, and heal it afterwards."""
     yield cluster
     cluster.fault(kind='clear')
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -52,19 +52,19 @@
     return Job(at_s, 'centro', 'order', 'service', 0, '')
 
 
-def ask(jobs: list[Job], where: Target) -> list[Answer]:
+def send_jobs(jobs: list[Job], where: Target) -> list[Answer]:
     """Send jobs and return their answers."""
     # A kept connection belongs to the event loop that opened it.
     where.kept.clear()
     return asyncio.run(play(number_jobs(jobs), where))
 
 
-def raw(address: str, wire: bytes, *, end: bool = False) -> bytes:
+def send_raw(address: str, wire: bytes, *, half_close: bool = False) -> bytes:
     """Send bytes and return all that is answered until the end."""
     host, port = address.rsplit(':', 1)
     with socket.create_connection((host, int(port)), timeout=WAIT_S) as sock:
         sock.sendall(wire)
-        if end:
+        if half_close:
             sock.shutdown(socket.SHUT_WR)
         answer = b''
         while piece := sock.recv(65536):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -8,12 +8,12 @@
 
 from siskinpass.codes import Code
 from tests.processes import (
-    ask,
     counter,
     metric_sum,
     order,
     pattern,
-    raw,
+    send_jobs,
+    send_raw,
     target,
     wait_until,
 )
@@ -164,22 +164,22 @@
     def test_is_answered_and_survived(self, cluster, make, code):
         """The caller gets a code, and the process lives on."""
         entry = cluster.entries[0]
-        answer = raw(entry.callers, make(cluster))
+        answer = send_raw(entry.callers, make(cluster))
         assert b'X-Siskinpass-Code: %d\r\n' % code in answer
         assert b'X-Siskinpass-Ran: no\r\n' in answer
-        assert ask([counter()], target(cluster, entry))[0].whole
+        assert send_jobs([counter()], target(cluster, entry))[0].whole
 
     def test_body_cut_short(self, cluster):
         """A body that ends early is told from a slow one."""
         wire = head(cluster, COUNTER, 'Content-Length: 90') + b'{'
-        answer = raw(cluster.entries[0].callers, wire, end=True)
+        answer = send_raw(cluster.entries[0].callers, wire, half_close=True)
         assert b'X-Siskinpass-Code: 1006\r\n' in answer
 
     @pytest.mark.parametrize('sent', [b'POST /v1/comp', None])
     def test_slow_sender(self, cluster, sent):
         """A sender that stops is answered after the read limit."""
         wire = sent or head(cluster, COUNTER, 'Content-Length: 90') + b'{'
-        answer = raw(cluster.entries[0].callers, wire)
+        answer = send_raw(cluster.entries[0].callers, wire)
         assert b'X-Siskinpass-Code: 1005\r\n' in answer
 
 
@@ -190,7 +190,7 @@
         """Streams, whole answers and service calls work everywhere."""
         jobs = [counter(at_s=number / 50) for number in range(12)]
         jobs += [counter(stream=False), order(), pattern()]
-        assert all(answer.whole for answer in ask(jobs, target(cluster)))
+        assert all(answer.whole for answer in send_jobs(jobs, target(cluster)))
 
     @pytest.mark.parametrize('stream', [False, True])
     def test_stock_client(self, cluster, stream):
@@ -231,7 +231,7 @@
         """Two requests in a row use one connection."""
         wire = with_body(cluster, ASKED, COUNTER)
         kept = wire.replace(b'Connection: close\r\n', b'')
-        answer = raw(cluster.entries[0].callers, kept + wire)
+        answer = send_raw(cluster.entries[0].callers, kept + wire)
         assert answer.count(b'HTTP/1.1 200 OK') == 2
 
     def test_process_has_no_io_uring(self, cluster):
@@ -272,12 +272,12 @@
         name, label = 'siskinpass_refusals_total', 'code="1008"'
         before = metric_sum(cluster, name, label)
         entry = cluster.entries[0]
-        raw(entry.callers, with_body(cluster, ASKED, COUNTER, key='wrong'))
+        send_raw(entry.callers, with_body(cluster, ASKED, COUNTER, key='wrong'))
         assert metric_sum(cluster, name, label) == before + 1
 
     def test_status_tells_promises_and_versions(self, cluster):
         """Operators read back what holds and where it is in force."""
-        ask([counter() for _ in range(12)], target(cluster))
+        send_jobs([counter() for _ in range(12)], target(cluster))
         status = wait_until(
             lambda: (
                 told
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -5,11 +5,11 @@
 
 from siskinpass.codes import Code
 from tests.processes import (
-    ask,
     counter,
     metric_sum,
     order,
     pattern,
+    send_jobs,
     service_runs,
     target,
     wait_until,
@@ -23,7 +23,7 @@
     answers = []
 
     def send():
-        answers.extend(ask(jobs, where))
+        answers.extend(send_jobs(jobs, where))
 
     thread = threading.Thread(target=send)
     thread.start()
@@ -68,46 +68,48 @@
         assert [answer.fault for answer in wait()] == [''] * 9
         assert metric_sum(fresh, RETRIES, 'reason="retry_stream_cut"') > 0
 
-    def test_silent_connections_are_replaced(self, healed):
+    def test_silent_connections_are_replaced(self, restored):
         """A stream that falls silent for good goes on over a new one."""
         jobs = [pattern(tokens=250) for _ in range(6)]
-        wait = in_background(jobs, target(healed))
-        wait_until(lambda: open_streams(healed) >= 6, 'six open streams')
-        for name in healed.plan.engines:
-            healed.fault(name=name, kind='silence')
+        wait = in_background(jobs, target(restored))
+        wait_until(lambda: open_streams(restored) >= 6, 'six open streams')
+        for name in restored.plan.engines:
+            restored.fault(name=name, kind='silence')
         assert [answer.fault for answer in wait()] == [''] * 6
         reason = 'reason="retry_stream_silent"'
-        assert metric_sum(healed, RETRIES, reason) >= 6
+        assert metric_sum(restored, RETRIES, reason) >= 6
 
-    def test_crossed_answer_is_fetched_anew(self, healed):
+    def test_crossed_answer_is_fetched_anew(self, restored):
         """An answer for another request never reaches the caller."""
-        for name in healed.plan.engines:
-            healed.order(name, {'cross': 1}, '/admin/cross')
-        answers = ask([counter() for _ in range(6)], target(healed))
-        for name in healed.plan.engines:
-            healed.order(name, {'cross': 0}, '/admin/cross')
+        for name in restored.plan.engines:
+            restored.order(name, {'cross': 1}, '/admin/cross')
+        answers = send_jobs([counter() for _ in range(6)], target(restored))
+        for name in restored.plan.engines:
+            restored.order(name, {'cross': 0}, '/admin/cross')
         assert [answer.fault for answer in answers] == [''] * 6
         reason = 'reason="retry_answer_crossed"'
-        assert metric_sum(healed, RETRIES, reason) > 0
+        assert metric_sum(restored, RETRIES, reason) > 0
 
-    def test_leaving_engine_gets_nothing_new(self, healed):
+    def test_leaving_engine_gets_nothing_new(self, restored):
         """An engine that the list calls leaving is left alone everywhere."""
         leaving = {'name': 'engine-1', 'state': 'leaving'}
-        healed.order('platform', [leaving], '/admin/instances')
+        restored.order('platform', [leaving], '/admin/instances')
         try:
             wait_until(
                 lambda: all(
-                    _is_leaving(healed, entry) for entry in healed.entries
+                    _is_leaving(restored, entry) for entry in restored.entries
                 ),
                 'all brokers to know',
             )
-            before = set(healed.read('engine-1', '/log'))
-            answers = ask([counter() for _ in range(20)], target(healed))
+            before = set(restored.read('engine-1', '/log'))
+            answers = send_jobs(
+                [counter() for _ in range(20)], target(restored)
+            )
             assert all(answer.whole for answer in answers)
-            assert set(healed.read('engine-1', '/log')) == before
+            assert set(restored.read('engine-1', '/log')) == before
         finally:
             live = {'name': 'engine-1', 'state': 'live'}
-            healed.order('platform', [live], '/admin/instances')
+            restored.order('platform', [live], '/admin/instances')
 
 
 def _is_leaving(cluster, entry):
@@ -120,108 +122,110 @@
 class TestAtMostOnce:
     """Test orders, which must not run twice."""
 
-    def test_repeated_key_gets_the_stored_answer(self, healed):
+    def test_repeated_key_gets_the_stored_answer(self, restored):
         """A caller's own retry at another entry runs nothing again."""
-        first, second = healed.entries[:2]
-        where = target(healed, first)
+        first, second = restored.entries[:2]
+        where = target(restored, first)
         where.seed = 11
-        again = target(healed, second)
+        again = target(restored, second)
         again.seed = 11
-        one = ask([order()], where)[0]
+        one = send_jobs([order()], where)[0]
         assert one.whole
         wait_until(
-            lambda: ask([order()], again)[0].status == 200,
+            lambda: send_jobs([order()], again)[0].status == 200,
             'the stored answer',
         )
-        runs = [body for body in service_runs(healed) if 's11n0' in body]
+        runs = [body for body in service_runs(restored) if 's11n0' in body]
         assert len(runs) == 1
 
-    def test_store_down_means_not_run(self, healed):
+    def test_store_down_means_not_run(self, restored):
         """Without the store an order is refused, and it did not run."""
-        healed.order('platform', {'down': True}, '/admin/store')
-        where = target(healed)
+        restored.order('platform', {'down': True}, '/admin/store')
+        where = target(restored)
         where.seed = 12
-        answers = ask([order() for _ in range(3)], where)
+        answers = send_jobs([order() for _ in range(3)], where)
         assert {answer.code for answer in answers} == {Code.claim_store_down}
         assert {answer.ran for answer in answers} == {'no'}
         assert answers[0].retry_after_ms > 0
-        assert not [body for body in service_runs(healed) if 's12n' in body]
+        assert not [body for body in service_runs(restored) if 's12n' in body]
 
-    def test_lost_confirmation_of_a_claim(self, healed):
+    def test_lost_confirmation_of_a_claim(self, restored):
         """A claim whose confirmation was lost is known by its nonce."""
         lose = {'lose_confirmations': 2}
-        healed.order('platform', lose, '/admin/store')
-        where = target(healed)
+        restored.order('platform', lose, '/admin/store')
+        where = target(restored)
         where.seed = 13
-        answers = ask([order() for _ in range(4)], where)
-        healed.order('platform', {'lose_confirmations': 0}, '/admin/store')
-        runs = [body for body in service_runs(healed) if 's13n' in body]
+        answers = send_jobs([order() for _ in range(4)], where)
+        restored.order('platform', {'lose_confirmations': 0}, '/admin/store')
+        runs = [body for body in service_runs(restored) if 's13n' in body]
         assert len(runs) == len(set(runs))
         assert len(runs) == sum(answer.whole for answer in answers)
         not_run = {a.number for a in answers if a.ran == 'no'}
         assert not [n for n in not_run if f'"order":"s13n{n}"' in str(runs)]
 
-    def test_cut_service_call_is_unknown_and_not_repeated(self, healed):
+    def test_cut_service_call_is_unknown_and_not_repeated(self, restored):
         """A call that may have run is told as unknown, never sent again."""
-        for name in healed.plan.services:
-            healed.fault(name=name, kind='set', drop_back=True)
-            healed.order(name, {'slow': 100}, '/admin/slow')
-        where = target(healed)
+        for name in restored.plan.services:
+            restored.fault(name=name, kind='set', drop_back=True)
+            restored.order(name, {'slow': 100}, '/admin/slow')
+        where = target(restored)
         where.seed = 14
         wait = in_background([order()], where)
         wait_until(
-            lambda: [b for b in service_runs(healed) if 's14n0' in b],
+            lambda: [b for b in service_runs(restored) if 's14n0' in b],
             'the run at the service',
         )
-        for name in healed.plan.services:
-            healed.fault(name=name, kind='cut')
-            healed.order(name, {'slow': 1}, '/admin/slow')
+        for name in restored.plan.services:
+            restored.fault(name=name, kind='cut')
+            restored.order(name, {'slow': 1}, '/admin/slow')
         answer = wait()[0]
         assert (answer.code, answer.ran) == (Code.outcome_unknown, 'unknown')
-        runs = [body for body in service_runs(healed) if 's14n0' in body]
+        runs = [body for body in service_runs(restored) if 's14n0' in body]
         assert len(runs) == 1
 
 
 class TestTree:
     """Test edits under races and outages."""
 
-    def test_two_operators_at_once(self, healed):
+    def test_two_operators_at_once(self, restored):
         """Disjoint edits both hold; edits of one node conflict."""
-        told = healed.operate('GET', '/tree')
+        told = restored.operate('GET', '/tree')
         base, tree = told['version'], told['tree']
         mine = _edited(tree, 'norte', 'summary', 'max_wait_ms', 50_001)
         theirs = _edited(tree, 'sur', 'summary', 'max_wait_ms', 50_002)
         clash = _edited(tree, 'norte', 'summary', 'max_wait_ms', 50_003)
-        assert healed.propose(mine, base)['version'] == base + 1
-        assert healed.propose(theirs, base)['version'] == base + 2
-        error = healed.propose(clash, base)['error']
+        assert restored.propose(mine, base)['version'] == base + 1
+        assert restored.propose(theirs, base)['version'] == base + 2
+        error = restored.propose(clash, base)['error']
         assert error['code'] == Code.tree_conflict
         assert error['changed'][0]['new'] == 50_001
-        after = healed.operate('GET', '/tree')['tree']['workspaces']
+        after = restored.operate('GET', '/tree')['tree']['workspaces']
         assert after['norte']['classes']['summary']['max_wait_ms'] == 50_001
         assert after['sur']['classes']['summary']['max_wait_ms'] == 50_002
 
-    def test_edit_with_lost_confirmation_is_accepted_once(self, healed):
+    def test_edit_with_lost_confirmation_is_accepted_once(self, restored):
         """An edit is found by its nonce, not made twice."""
-        told = healed.operate('GET', '/tree')
+        told = restored.operate('GET', '/tree')
         base, tree = told['version'], told['tree']
         mine = _edited(tree, 'plaza', 'summary', 'max_wait_ms', 51_000 + base)
         lose = {'lose_confirmations': 3}
-        healed.order('platform', lose, '/admin/store')
-        assert healed.propose(mine, base)['version'] == base + 1
-        healed.order('platform', {'lose_confirmations': 0}, '/admin/store')
-        numbers = [edit['number'] for edit in healed.operate('GET', '/history')]
+        restored.order('platform', lose, '/admin/store')
+        assert restored.propose(mine, base)['version'] == base + 1
+        restored.order('platform', {'lose_confirmations': 0}, '/admin/store')
+        numbers = [
+            edit['number'] for edit in restored.operate('GET', '/history')
+        ]
         assert numbers == sorted(set(numbers))
 
-    def test_edit_is_in_force_everywhere(self, healed):
+    def test_edit_is_in_force_everywhere(self, restored):
         """Every instance comes to the accepted version."""
-        told = healed.operate('GET', '/tree')
+        told = restored.operate('GET', '/tree')
         base, tree = told['version'], told['tree']
         edited = _edited(tree, 'taller', 'summary', 'max_wait_ms', 52_000)
-        number = healed.propose(edited, base)['version']
-        for entry in healed.entries:
+        number = restored.propose(edited, base)['version']
+        for entry in restored.entries:
             wait_until(
-                lambda at=entry: healed.status(at)['version'] >= number,
+                lambda at=entry: restored.status(at)['version'] >= number,
                 f'version {number} at {entry.name}',
             )
 
@@ -233,7 +237,7 @@
         fresh.start_entry(third)
         fresh.wait_http(third.callers, '/readyz')
         assert fresh.status(third)['version'] == 1
-        answers = ask([counter() for _ in range(4)], target(fresh, third))
+        answers = send_jobs([counter() for _ in range(4)], target(fresh, third))
         assert all(answer.whole for answer in answers)
 
     def test_instance_without_tree_is_not_ready(self, fresh):
@@ -269,7 +273,7 @@
 
     def test_broker_is_killed(self, fresh):
         """Others take over; no caller of theirs sees it."""
-        ask([counter()], target(fresh))
+        send_jobs([counter()], target(fresh))
         broker = broker_entry(fresh)
         others = [entry for entry in fresh.entries if entry is not broker]
         jobs = [counter(at_s=number / 20) for number in range(60)]
@@ -281,31 +285,31 @@
 
     def test_broker_is_paused_and_wakes(self, fresh):
         """A paused broker is passed by, and is heard no more when it wakes."""
-        ask([counter()], target(fresh))
+        send_jobs([counter()], target(fresh))
         broker = broker_entry(fresh)
         others = [entry for entry in fresh.entries if entry is not broker]
         broker.process.send_signal(signal.SIGSTOP)
         jobs = [counter(at_s=number / 20) for number in range(40)]
-        answers = ask(jobs, target(fresh, *others))
+        answers = send_jobs(jobs, target(fresh, *others))
         broker.process.send_signal(signal.SIGCONT)
         assert all(answer.whole for answer in answers)
         fresh.wait_members(3)
-        assert all(answer.whole for answer in ask(jobs, target(fresh)))
+        assert all(answer.whole for answer in send_jobs(jobs, target(fresh)))
 
-    def test_entry_is_cut_off_from_one_peer(self, healed):
+    def test_entry_is_cut_off_from_one_peer(self, restored):
         """One-way loss between two instances loses no request."""
-        ask([counter()], target(healed))
-        broker = broker_entry(healed)
-        other = next(one for one in healed.entries if one is not broker)
+        send_jobs([counter()], target(restored))
+        broker = broker_entry(restored)
+        other = next(one for one in restored.entries if one is not broker)
         source = other.peers.rsplit(':', 1)[0]
-        healed.fault(
+        restored.fault(
             name=broker.name,
             kind='set',
             source=source,
             drop_out=True,
         )
         jobs = [counter(at_s=number / 20) for number in range(40)]
-        answers = ask(jobs, target(healed, other))
+        answers = send_jobs(jobs, target(restored, other))
         assert all(answer.whole for answer in answers)
 
     def test_graceful_stop_cuts_nothing(self, fresh):
@@ -327,7 +331,7 @@
         refused = wait_until(
             lambda: [
                 answer
-                for answer in ask([counter()], target(fresh, first))
+                for answer in send_jobs([counter()], target(fresh, first))
                 if answer.code == Code.instance_leaving
             ],
             'a refusal',
@@ -353,7 +357,7 @@
         fresh.start_entry(second)
         fresh.wait_http(second.callers, '/readyz')
         fresh.wait_members(3)
-        assert ask([counter()], target(fresh, second))[0].whole
+        assert send_jobs([counter()], target(fresh, second))[0].whole
 
 
 def _told_names(cluster, entry):
@@ -365,19 +369,21 @@
 class TestPriority:
     """Test that upper tiers do not wait behind lower ones."""
 
-    def test_counter_passes_waiting_patterns_of_other_entries(self, healed):
+    def test_counter_passes_waiting_patterns_of_other_entries(self, restored):
         """Drafts at one entry do not hold up a counter request at another."""
-        first, second = healed.entries[:2]
+        first, second = restored.entries[:2]
         wait = in_background(
             [pattern(tokens=120) for _ in range(120)],
-            target(healed, first),
+            target(restored, first),
         )
         wait_until(
-            lambda: _waiting(healed) >= 10,
+            lambda: _waiting(restored) >= 10,
             'drafts to wait at the broker',
         )
-        answers = ask([counter() for _ in range(4)], target(healed, second))
-        assert _waiting(healed) > 0, 'drafts still wait'
+        answers = send_jobs(
+            [counter() for _ in range(4)], target(restored, second)
+        )
+        assert _waiting(restored) > 0, 'drafts still wait'
         assert all(answer.whole for answer in answers)
         assert all(answer.whole for answer in wait())
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -3,7 +3,7 @@
 import signal
 
 from siskinpass.process.orders import REPEAT_S, EngineReport, OrderPlan
-from tests.processes import ask, counter, target, wait_until
+from tests.processes import counter, send_jobs, target, wait_until
 
 WANTED = frozenset(('m1', 'm2'))
 
@@ -64,7 +64,7 @@
         )
         where = target(fresh)
         where.model = 'fieltro-new'
-        assert ask([counter()], where)[0].whole
+        assert send_jobs([counter()], where)[0].whole
 
     def test_paused_lease_holder_sends_no_stale_orders(self, fresh):
         """A lease holder that was paused past its lease sends no order.
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -11,7 +11,7 @@
 from cryptography.x509.oid import NameOID
 
 from bench.cluster import HOST, OPERATOR_KEY, deployment, running
-from tests.processes import ask, counter, target, wait_until
+from tests.processes import counter, send_jobs, target, wait_until
 
 DAY = datetime.timedelta(days=1)
 
@@ -70,7 +70,7 @@
     def test_between_instances(self, peers_with_tls):
         """Tickets cross between instances over mutual TLS."""
         jobs = [counter(at_s=number / 20) for number in range(12)]
-        answers = ask(jobs, target(peers_with_tls))
+        answers = send_jobs(jobs, target(peers_with_tls))
         assert all(answer.whole for answer in answers)
         brokers = [
             entry.name
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -75,13 +75,13 @@
         """A watch whose answer is lost on an open connection is repeated."""
 
         async def scenario(store, follower):
-            store.is_mute = True
+            store.stalls_watches = True
             await store.put(KIND, 'second', 1)
             await wait_until(
                 lambda: follower.unavailable_count,
                 'the lost answer to be noticed',
             )
-            store.is_mute = False
+            store.stalls_watches = False
             await wait_until(lambda: 'second' in follower.names, 'the change')
 
         asyncio.run(follow(scenario))
