--- a/standins/engine.py
+++ b/standins/engine.py
@@ -26,7 +26,7 @@
 )
 
 DONE = b'data: [DONE]\n\n'
-EVENTS_KEPT = 200
+MAX_KEPT_EVENTS = 200
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,10 +62,10 @@
     seed: str
     length: int
     chat: bool
-    resumed: int
+    start_index: int
     prompt: str
     model: str
-    sent: int = 0
+    generated: int = 0
     prefilled: bool = False
     crossed: bool = False
     cancelled: bool = False
@@ -87,11 +87,11 @@
         self.log: dict[str, list[dict]] = {}
         self._waiting: list[tuple] = []
         self._running: list[Sequence] = []
-        self._order = itertools.count()
+        self._arrivals = itertools.count()
         self._wake = asyncio.Event()
         self._cache: OrderedDict[str, None] = OrderedDict()
-        self._events: deque[dict] = deque(maxlen=EVENTS_KEPT)
-        self._event_number = itertools.count(1)
+        self._events: deque[dict] = deque(maxlen=MAX_KEPT_EVENTS)
+        self._event_numbers = itertools.count(1)
         self._reports: deque[tuple[float, dict]] = deque()
         self._random = random.Random(options.name)
         self._step_s = 0.0
@@ -101,7 +101,7 @@
         due = time.monotonic()
         while True:
             self._admit()
-            self._note_load()
+            self._record_load()
             if not self._running:
                 self._wake.clear()
                 await self._wake.wait()
@@ -114,20 +114,20 @@
 
     def submit(self, sequence: Sequence, priority: int) -> None:
         """Queue a sequence."""
-        entry = (priority, next(self._order), sequence)
+        entry = (priority, next(self._arrivals), sequence)
         heapq.heappush(self._waiting, entry)
         self._wake.set()
 
-    def report(self) -> dict:
+    def load_report(self) -> dict:
         """Return the load as it was some seconds ago."""
-        bound = time.monotonic() - self.options.lag_s
-        old = {}
-        while self._reports and self._reports[0][0] <= bound:
-            old = self._reports.popleft()[1]
-        if old:
-            self._reports.appendleft((bound, old))
+        cutoff_s = time.monotonic() - self.options.lag_s
+        delayed = {}
+        while self._reports and self._reports[0][0] <= cutoff_s:
+            delayed = self._reports.popleft()[1]
+        if delayed:
+            self._reports.appendleft((cutoff_s, delayed))
         return {
-            **old,
+            **delayed,
             'age_ms': int(self.options.lag_s * 1000),
             'leaving': self.leaving,
             'models': sorted(self.models),
@@ -167,23 +167,23 @@
         return step_ms * self.slow / 1000
 
     def _prefill_ms(self, sequence: Sequence) -> float:
-        length = len(sequence.prompt) + 8 * sequence.resumed
+        length = len(sequence.prompt) + 8 * sequence.start_index
         prefix = sequence.prompt[:256]
         if prefix in self._cache:
             self._cache.move_to_end(prefix)
             length = min(length, 256)
-        self._remember(prefix)
+        self._cache_prefix(prefix)
         return length * self.options.prefill_ms / 1000
 
-    def _remember(self, prefix: str) -> None:
+    def _cache_prefix(self, prefix: str) -> None:
         self._cache[prefix] = None
-        self._note_event('stored', prefix)
+        self._record_event('stored', prefix)
         if len(self._cache) > self.options.cache:
-            gone, _ = self._cache.popitem(last=False)
-            self._note_event('removed', gone)
+            evicted, _ = self._cache.popitem(last=False)
+            self._record_event('removed', evicted)
 
-    def _note_event(self, kind: str, prefix: str) -> None:
-        number = next(self._event_number)
+    def _record_event(self, kind: str, prefix: str) -> None:
+        number = next(self._event_numbers)
         if self._random.random() < 0.9:
             self._events.append(
                 {'number': number, 'kind': kind, 'prefix': prefix},
@@ -193,25 +193,27 @@
         for sequence in self._running:
             if sequence.cancelled:
                 continue
-            sequence.tokens.put_nowait(sequence.resumed + sequence.sent)
-            sequence.sent += 1
+            sequence.tokens.put_nowait(
+                sequence.start_index + sequence.generated
+            )
+            sequence.generated += 1
         self._running = [
             sequence
             for sequence in self._running
             if not sequence.cancelled
-            and sequence.resumed + sequence.sent < sequence.length
+            and sequence.start_index + sequence.generated < sequence.length
         ]
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         now_s = time.monotonic()
         if self._reports and now_s - self._reports[-1][0] < 0.2:
             return
-        report = {
+        load_report = {
             'running': len(self._running),
             'waiting': len(self._waiting),
             'token_ms': round(self._step_s * 1000, 2),
         }
-        self._reports.append((now_s, report))
+        self._reports.append((now_s, load_report))
 
 
 class EngineApi:
@@ -234,7 +236,7 @@
 
     def _read(self, path: str, request: Request) -> Response:
         if path == '/load':
-            return json_response(self._engine.report())
+            return json_response(self._engine.load_report())
         if path == '/events':
             after = int(request.query.get('after', 0))
             return json_response(self._engine.events_after(after))
@@ -256,19 +258,19 @@
     def _complete(self, request: Request) -> Response:
         if self._engine.leaving:
             return json_response({'error': 'leaving'}, 503)
-        asked = request.json()
-        if asked.get('model') not in self._engine.models:
+        payload = request.json()
+        if payload.get('model') not in self._engine.models:
             return json_response({'error': 'model not loaded'}, 404)
         chat = request.path.endswith('chat/completions')
-        sequence = _sequence(asked, chat=chat)
+        sequence = _sequence(payload, chat=chat)
         if self._engine.cross > 0:
             # The answer will be for a request that nobody here has made.
             self._engine.cross -= 1
             sequence.crossed = True
             sequence.seed = 'other'
-        self._engine.submit(sequence, int(asked.get('priority', 0)))
+        self._engine.submit(sequence, int(payload.get('priority', 0)))
         runs = self._engine.log.setdefault(sequence.request_id, [])
-        run = {'from': sequence.resumed, 'sent': 0, 'end': 'open'}
+        run = {'from': sequence.start_index, 'sent': 0, 'end': 'open'}
         run['at'] = time.time()
         runs.append(run)
         return Response(
@@ -280,29 +282,29 @@
         )
 
 
-def _sequence(asked: dict, *, chat: bool) -> Sequence:
-    metadata = asked.get('metadata') or {}
+def _sequence(payload: dict, *, chat: bool) -> Sequence:
+    metadata = payload.get('metadata') or {}
     prompt = (
-        asked.get('prompt')
+        payload.get('prompt')
         or orjson.dumps(
-            asked.get('messages', []),
+            payload.get('messages', []),
         ).decode()
     )
-    length = int(metadata.get('tokens', asked.get('max_tokens') or 16))
+    length = int(metadata.get('tokens', payload.get('max_tokens') or 16))
     return Sequence(
-        request_id=str(asked.get('request_id', '')),
+        request_id=str(payload.get('request_id', '')),
         seed=str(metadata.get('seed', 'token')),
-        length=min(length, int(asked.get('max_tokens') or length)),
+        length=min(length, int(payload.get('max_tokens') or length)),
         chat=chat,
-        resumed=int(asked.get('resume_from', 0)),
+        start_index=int(payload.get('resume_from', 0)),
         prompt=str(prompt),
-        model=asked['model'],
+        model=payload['model'],
     )
 
 
 async def _stream(sequence: Sequence, run: dict) -> AsyncIterator[bytes]:
     try:
-        async for chunk in _tokens(sequence, run):
+        async for chunk in _token_events(sequence, run):
             yield chunk
     finally:
         sequence.cancelled = True
@@ -310,21 +312,21 @@
             run['end'] = 'cancelled'
 
 
-async def _tokens(sequence: Sequence, run: dict) -> AsyncIterator[bytes]:
-    index = sequence.resumed
+async def _token_events(sequence: Sequence, run: dict) -> AsyncIterator[bytes]:
+    index = sequence.start_index
     while index < sequence.length:
         index = await sequence.tokens.get()
         run['sent'] += 1
-        yield _event(sequence, index)
+        yield _token_event(sequence, index)
         index += 1
     run['end'] = 'whole'
     yield DONE
 
 
-def _event(sequence: Sequence, index: int) -> bytes:
+def _token_event(sequence: Sequence, index: int) -> bytes:
     text = f'{sequence.seed}-{index} '
-    last = index + 1 >= sequence.length
-    choice: dict = {'index': 0, 'finish_reason': 'stop' if last else None}
+    is_last = index + 1 >= sequence.length
+    choice: dict = {'index': 0, 'finish_reason': 'stop' if is_last else None}
     if sequence.chat:
         choice['delta'] = {'role': 'assistant', 'content': text}
         kind = 'chat.completion.chunk'
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -37,7 +37,7 @@
         """Start without faults."""
         self._target = target
         self._faults: dict[str, Fault] = {}
-        self._pairs: set[_Pair] = set()
+        self._connections: set[_ForwardedConnection] = set()
 
     def fault(self, source: str) -> Fault:
         """Return the fault in force for a source address."""
@@ -51,18 +51,18 @@
         """Heal everything but the connections already silenced."""
         self._faults.clear()
 
-    def cut(self) -> int:
+    def reset_connections(self) -> int:
         """Reset all open connections and return how many there were."""
-        pairs = tuple(self._pairs)
-        for pair in pairs:
-            pair.abort()
-        return len(pairs)
+        connections = tuple(self._connections)
+        for connection in connections:
+            connection.abort()
+        return len(connections)
 
-    def silence(self) -> int:
+    def silence_connections(self) -> int:
         """Let all open connections go silent for good; new ones work."""
-        for pair in self._pairs:
-            pair.silent = True
-        return len(self._pairs)
+        for connection in self._connections:
+            connection.silent = True
+        return len(self._connections)
 
     async def start(self, host: str, port: int) -> None:
         """Listen for TCP and UDP on one address."""
@@ -74,7 +74,7 @@
         )
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
-            lambda: _Datagrams(self),
+            lambda: _DatagramForwarder(self),
             local_addr=(host, port),
         )
 
@@ -93,60 +93,64 @@
             writer.transport.abort()
             return
         try:
-            onward = await asyncio.open_connection(
+            upstream = await asyncio.open_connection(
                 *self._target,
                 local_addr=(source, 0),
             )
         except OSError:
             writer.transport.abort()
             return
-        pair = _Pair(self, source, (reader, writer), onward)
-        self._pairs.add(pair)
+        connection = _ForwardedConnection(
+            self, source, (reader, writer), upstream
+        )
+        self._connections.add(connection)
         try:
-            await pair.run()
+            await connection.run()
         finally:
-            self._pairs.discard(pair)
+            self._connections.discard(connection)
 
 
-class _Pair:
+class _ForwardedConnection:
     """Own the two connections of one forwarded connection."""
 
-    def __init__(self, proxy: FaultProxy, source: str, near, far) -> None:
+    def __init__(
+        self, proxy: FaultProxy, source: str, client, upstream
+    ) -> None:
         self._proxy = proxy
         self._source = source
-        self._near = near
-        self._far = far
+        self._client = client
+        self._upstream = upstream
         self.silent = False
 
     async def run(self) -> None:
         """Forward both ways until both ends are done."""
-        near_reader, near_writer = self._near
-        far_reader, far_writer = self._far
+        client_reader, client_writer = self._client
+        upstream_reader, upstream_writer = self._upstream
         await asyncio.gather(
-            self._copy(near_reader, far_writer, 'drop_out'),
-            self._copy(far_reader, near_writer, 'drop_back'),
+            self._forward(client_reader, upstream_writer, 'drop_out'),
+            self._forward(upstream_reader, client_writer, 'drop_back'),
         )
 
     def abort(self) -> None:
         """Reset both connections."""
-        self._near[1].transport.abort()
-        self._far[1].transport.abort()
+        self._client[1].transport.abort()
+        self._upstream[1].transport.abort()
 
-    async def _copy(self, reader, writer, drop: str) -> None:
+    async def _forward(self, reader, writer, drop: str) -> None:
         with suppress(OSError):
-            while piece := await reader.read(READ_BYTES):
+            while chunk := await reader.read(READ_BYTES):
                 fault = self._proxy.fault(self._source)
                 if fault.delay_s:
                     await asyncio.sleep(fault.delay_s)
                 if self.silent or getattr(fault, drop):
                     continue
-                writer.write(piece)
+                writer.write(chunk)
                 await writer.drain()
             if not self.silent:
                 writer.close()
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramForwarder(asyncio.DatagramProtocol):
     """Forward datagrams; the answers come from the target by themselves."""
 
     def __init__(self, proxy: FaultProxy) -> None:
@@ -178,24 +182,24 @@
 
     async def __call__(self, request: Request) -> Response:
         """Carry out one order for one proxy, or for all of them."""
-        order = request.json()
-        name = order.pop('name', '')
-        kind = order.pop('kind')
+        command = request.json()
+        name = command.pop('name', '')
+        kind = command.pop('kind')
         chosen = [self._proxies[name]] if name else list(self._proxies.values())
-        touched = [_carry_out(proxy, kind, order) for proxy in chosen]
-        return json_response({'touched': sum(touched)})
+        counts = [_apply_command(proxy, kind, command) for proxy in chosen]
+        return json_response({'touched': sum(counts)})
 
 
-def _carry_out(proxy: FaultProxy, kind: str, order: dict) -> int:
+def _apply_command(proxy: FaultProxy, kind: str, command: dict) -> int:
     if kind == 'cut':
-        return proxy.cut()
+        return proxy.reset_connections()
     if kind == 'silence':
-        return proxy.silence()
+        return proxy.silence_connections()
     if kind == 'clear':
         proxy.clear()
         return 0
-    source = order.pop('source', '')
-    proxy.set_fault(replace(proxy.fault(source), **order), source)
+    source = command.pop('source', '')
+    proxy.set_fault(replace(proxy.fault(source), **command), source)
     return 1
 
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -36,23 +36,25 @@
     async def put(self, kind: str, name: str, spec: Any) -> None:
         """Write an object as the operator or a worker does."""
         self._revision = next(self._revisions)
-        found = {
+        stored = {
             'metadata': {'name': name, 'revision': self._revision},
             'spec': spec,
         }
-        self._objects[kind, name] = found
-        await self._tell(kind, found, is_deleted=False)
+        self._objects[kind, name] = stored
+        await self._record_change(kind, stored, is_deleted=False)
 
     async def remove(self, kind: str, name: str) -> None:
         """Remove an object."""
-        found = self._objects.pop((kind, name), None)
-        if found is not None:
+        stored = self._objects.pop((kind, name), None)
+        if stored is not None:
             self._revision = next(self._revisions)
-            await self._tell(kind, found, is_deleted=True)
+            await self._record_change(kind, stored, is_deleted=True)
 
     def names(self, kind: str) -> set[str]:
         """Return the names of a kind's objects."""
-        return {name for known, name in self._objects if known == kind}
+        return {
+            name for stored_kind, name in self._objects if stored_kind == kind
+        }
 
     async def __call__(self, request: Request) -> Response:
         """Answer one call."""
@@ -69,21 +71,25 @@
         if request.method == 'DELETE':
             await self.remove(kind, name)
             return json_response({})
-        told = request.json()
-        name = told['metadata']['name']
+        document = request.json()
+        name = document['metadata']['name']
         if request.method == 'POST' and (kind, name) in self._objects:
             return json_response(self._objects[kind, name], 409)
-        await self.put(kind, name, told['spec'])
+        await self.put(kind, name, document['spec'])
         return json_response(self._objects[kind, name])
 
     def _list(self, kind: str) -> Response:
-        rows = [
-            found
-            for (known, _), found in self._objects.items()
-            if known == kind
+        matching = [
+            stored
+            for (stored_kind, _), stored in self._objects.items()
+            if stored_kind == kind
         ]
         return json_response(
-            {'items': rows, 'has-more': False, 'current-rev': self._revision},
+            {
+                'items': matching,
+                'has-more': False,
+                'current-rev': self._revision,
+            },
         )
 
     async def _watch(self, kind: str, request: Request) -> Response:
@@ -94,24 +100,24 @@
         try:
             async with asyncio.timeout(wait_s), self._changed:
                 await self._changed.wait_for(
-                    lambda: self.is_down or self._since(kind, since),
+                    lambda: self.is_down or self._changes_since(kind, since),
                 )
         except TimeoutError:
-            return self._told([])
+            return self._events_response([])
         if self.stalls_watches:
             await asyncio.Event().wait()
         if self.is_down:
             raise HangUpError
-        return self._told(self._since(kind, since))
+        return self._events_response(self._changes_since(kind, since))
 
-    def _since(self, kind: str, revision: int) -> list[dict[str, Any]]:
+    def _changes_since(self, kind: str, revision: int) -> list[dict[str, Any]]:
         return [
-            {'object': found, 'deleted': is_deleted}
-            for at, known, found, is_deleted in self._changes
-            if at > revision and known == kind
+            {'object': stored, 'deleted': is_deleted}
+            for changed_at, stored_kind, stored, is_deleted in self._changes
+            if changed_at > revision and stored_kind == kind
         ]
 
-    def _told(self, events: list[dict[str, Any]]) -> Response:
+    def _events_response(self, events: list[dict[str, Any]]) -> Response:
         return json_response(
             {'events': events, 'current-rev': self._revision},
         )
@@ -122,14 +128,14 @@
         async with self._changed:
             self._changed.notify_all()
 
-    async def _tell(
+    async def _record_change(
         self,
         kind: str,
-        found: dict[str, Any],
+        stored: dict[str, Any],
         *,
         is_deleted: bool,
     ) -> None:
-        self._changes.append((self._revision, kind, found, is_deleted))
+        self._changes.append((self._revision, kind, stored, is_deleted))
         async with self._changed:
             self._changed.notify_all()
 
@@ -169,18 +175,18 @@
         """Answer one request."""
         if request.headers.get('x-expect-instance') != self.name:
             return Response(421)
-        if self._takes('declines'):
+        if self._consume_fault('declines'):
             return Response(503, headers={'X-Not-Executed': '1'})
         self.runs.append(request)
-        if self._takes('hang_ups'):
+        if self._consume_fault('hang_ups'):
             raise HangUpError
-        if self._takes('silent'):
+        if self._consume_fault('silent'):
             await asyncio.Event().wait()
         headers = {
             'X-Attempt-Id': request.headers.get('x-attempt-id', ''),
             'X-Server-Seal': f'seal-{self.name}',
         }
-        if self._takes('bare_refusals'):
+        if self._consume_fault('bare_refusals'):
             return Response(503, headers=headers)
         if 'stream' in request.path:
             after = int(request.headers.get('last-event-id', '0'))
@@ -188,13 +194,13 @@
         body = orjson.dumps({'ran': self.name, 'body': request.body.decode()})
         return Response(200, body, headers)
 
-    def _takes(self, fault: str) -> bool:
-        left = getattr(self.faults, fault)
-        setattr(self.faults, fault, max(0, left - 1))
-        return left > 0
+    def _consume_fault(self, fault: str) -> bool:
+        remaining = getattr(self.faults, fault)
+        setattr(self.faults, fault, max(0, remaining - 1))
+        return remaining > 0
 
     async def _stream(self, after: int) -> AsyncIterator[bytes]:
-        is_cut = self._takes('cuts')
+        is_cut = self._consume_fault('cuts')
         for number in range(after + 1, self.events + 1):
             await asyncio.sleep(self.gap_s)
             if is_cut and number == after + 4:
--- a/standins/http_server.py
+++ b/standins/http_server.py
@@ -77,7 +77,7 @@
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
-        self._task = asyncio.ensure_future(self._answer_all())
+        self._task = asyncio.ensure_future(self._handle_requests())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._task.cancel()
@@ -118,7 +118,7 @@
             ),
         )
 
-    async def _answer_all(self) -> None:
+    async def _handle_requests(self) -> None:
         while True:
             request = await self._requests.get()
             try:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -18,8 +18,8 @@
     serve,
 )
 
-VALUE_BYTES_MOST = 1_000_000
-WATCH_S_MOST = 30
+MAX_VALUE_BYTES = 1_000_000
+MAX_WATCH_S = 30
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,24 +38,24 @@
     weight_loads_per_s: float = 2
 
 
-class Rate:
+class RateLimit:
     """Allow a number of calls a second."""
 
     def __init__(self, per_s: float) -> None:
         """Start with a full second's allowance."""
         self._per_s = per_s
-        self._left = per_s
-        self._at = time.monotonic()
+        self._tokens = per_s
+        self._refilled_s = time.monotonic()
 
-    def allows(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take one call from the allowance."""
         now_s = time.monotonic()
-        grown = self._left + (now_s - self._at) * self._per_s
-        self._left = min(max(1, self._per_s), grown)
-        self._at = now_s
-        if self._left < 1:
+        refilled = self._tokens + (now_s - self._refilled_s) * self._per_s
+        self._tokens = min(max(1, self._per_s), refilled)
+        self._refilled_s = now_s
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
@@ -66,8 +66,8 @@
         """Start empty."""
         self._objects: dict[str, tuple[int, bytes]] = {}
         self._changed = asyncio.Condition()
-        self._writes = Rate(options.writes_per_s)
-        self._reads = Rate(options.reads_per_s)
+        self._writes = RateLimit(options.writes_per_s)
+        self._reads = RateLimit(options.reads_per_s)
         self._version = 0
         self.counts: Counter[str] = Counter()
         self.down = False
@@ -75,7 +75,7 @@
         self.lose_confirmations = 0
         self.stale_reads = 0
         self.stale_key = ''
-        self._earlier: dict[str, tuple[int, bytes]] = {}
+        self._previous: dict[str, tuple[int, bytes]] = {}
 
     async def __call__(self, request: Request) -> Response:
         """Answer one call."""
@@ -85,7 +85,7 @@
             self.counts['refused_down'] += 1
             raise HangUpError
         rate = self._reads if kind == 'read' else self._writes
-        if not rate.allows():
+        if not rate.try_acquire():
             self.counts['refused_rate'] += 1
             return json_response({'error': 'too many calls'}, 429)
         await asyncio.sleep(self.slow_s)
@@ -99,16 +99,16 @@
             return self._list(request.query['prefix'])
         if 'watch' in request.query:
             self.counts['watch'] += 1
-            await self._wait_newer(key, request.query)
+            await self._wait_for_newer(key, request.query)
         if self.down:
             raise HangUpError
         if key not in self._objects:
             return json_response({'error': 'no such object'}, 404)
         version, body = self._objects[key]
-        stale = key == self.stale_key and key in self._earlier
+        stale = key == self.stale_key and key in self._previous
         if self.stale_reads > 0 and stale:
             self.stale_reads -= 1
-            version, body = self._earlier[key]
+            version, body = self._previous[key]
         return Response(200, body, {'ETag': str(version)})
 
     def _list(self, prefix: str) -> Response:
@@ -120,29 +120,29 @@
             },
         )
 
-    async def _wait_newer(self, key: str, query: dict) -> None:
-        known = int(query['watch'])
-        wait_s = min(float(query.get('wait_s', 10)), WATCH_S_MOST)
+    async def _wait_for_newer(self, key: str, query: dict) -> None:
+        known_version = int(query['watch'])
+        wait_s = min(float(query.get('wait_s', 10)), MAX_WATCH_S)
         try:
             async with asyncio.timeout(wait_s), self._changed:
                 await self._changed.wait_for(
-                    lambda: self._objects.get(key, (0,))[0] > known,
+                    lambda: self._objects.get(key, (0,))[0] > known_version,
                 )
         except TimeoutError:
             return
 
     async def _write(self, key: str, request: Request) -> Response:
-        if len(request.body) > VALUE_BYTES_MOST:
+        if len(request.body) > MAX_VALUE_BYTES:
             return json_response({'error': 'too large'}, 413)
         current = self._objects.get(key, (0, b''))[0]
-        if not _matches(request, current):
+        if not _precondition_holds(request, current):
             return json_response({'error': 'other version'}, 412)
         if request.method == 'DELETE':
             self._objects.pop(key, None)
         else:
             self._version += 1
             if key in self._objects:
-                self._earlier[key] = self._objects[key]
+                self._previous[key] = self._objects[key]
             self._objects[key] = (self._version, request.body)
         async with self._changed:
             self._changed.notify_all()
@@ -152,11 +152,11 @@
         return Response(204, b'', {'ETag': str(self._version)})
 
 
-def _matches(request: Request, current: int) -> bool:
+def _precondition_holds(request: Request, current: int) -> bool:
     if request.headers.get('if-none-match') == '*':
         return current == 0
-    wanted = request.headers.get('if-match')
-    return wanted is None or int(wanted) == current
+    expected = request.headers.get('if-match')
+    return expected is None or int(expected) == current
 
 
 class InstanceList:
@@ -165,27 +165,30 @@
     def __init__(self, options: PlatformOptions) -> None:
         """Start with an empty list."""
         self._lag_s = options.list_lag_s
-        self._now: dict[str, dict] = {}
-        self._past: deque[tuple[float, list]] = deque()
-        self._told: list = []
+        self._current: dict[str, dict] = {}
+        self._unpublished: deque[tuple[float, list]] = deque()
+        self._published: list = []
 
-    def tell(self) -> Response:
+    def list_response(self) -> Response:
         """Answer with the list as it was."""
-        bound = time.monotonic() - self._lag_s
-        while self._past and self._past[0][0] <= bound:
-            self._told = self._past.popleft()[1]
-        return json_response({'instances': self._told})
+        cutoff_s = time.monotonic() - self._lag_s
+        while self._unpublished and self._unpublished[0][0] <= cutoff_s:
+            self._published = self._unpublished.popleft()[1]
+        return json_response({'instances': self._published})
 
-    def change(self, request: Request) -> Response:
+    def update(self, request: Request) -> Response:
         """Add, change or remove instances."""
         for instance in request.json():
             name = instance['name']
             if instance.get('state') == 'gone':
-                self._now.pop(name, None)
+                self._current.pop(name, None)
             else:
-                self._now[name] = {**self._now.get(name, {}), **instance}
-        snapshot = [dict(instance) for instance in self._now.values()]
-        self._past.append((time.monotonic(), snapshot))
+                self._current[name] = {
+                    **self._current.get(name, {}),
+                    **instance,
+                }
+        snapshot = [dict(instance) for instance in self._current.values()]
+        self._unpublished.append((time.monotonic(), snapshot))
         return json_response({'instances': len(snapshot)})
 
 
@@ -196,7 +199,7 @@
         """Start all services empty."""
         self._store = ObjectStore(options)
         self._list = InstanceList(options)
-        self._weights = Rate(options.weight_loads_per_s)
+        self._weight_loads = RateLimit(options.weight_loads_per_s)
 
     async def __call__(self, request: Request) -> Response:
         """Answer one request."""
@@ -204,27 +207,27 @@
         if path.startswith('/objects'):
             return await self._store(request)
         if path == '/instances':
-            return self._list.tell()
+            return self._list.list_response()
         if path.startswith('/weights/'):
-            allowed = self._weights.allows()
+            allowed = self._weight_loads.try_acquire()
             return json_response({'allowed': allowed}, 200 if allowed else 429)
         return self._admin(path, request)
 
     def _admin(self, path: str, request: Request) -> Response:
         if path == '/admin/instances':
-            return self._list.change(request)
+            return self._list.update(request)
         if path == '/admin/counts':
             return json_response(self._store.counts)
         if path != '/admin/store':
             return json_response({'error': 'no such path'}, 404)
-        order = request.json()
+        command = request.json()
         store = self._store
-        store.down = bool(order.get('down', store.down))
-        store.slow_s = float(order.get('slow_s', store.slow_s))
-        store.stale_reads = int(order.get('stale_reads', store.stale_reads))
-        store.stale_key = order.get('stale_key', store.stale_key)
+        store.down = bool(command.get('down', store.down))
+        store.slow_s = float(command.get('slow_s', store.slow_s))
+        store.stale_reads = int(command.get('stale_reads', store.stale_reads))
+        store.stale_key = command.get('stale_key', store.stale_key)
         store.lose_confirmations = int(
-            order.get('lose_confirmations', store.lose_confirmations),
+            command.get('lose_confirmations', store.lose_confirmations),
         )
         return json_response({'down': store.down})
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -44,9 +44,9 @@
     def _admin(self, request: Request) -> Response:
         if request.path == '/admin/crash':
             os._exit(9)
-        order = request.json()
-        self._slow = float(order.get('slow', self._slow))
-        self._leaving = bool(order.get('leaving', self._leaving))
+        command = request.json()
+        self._slow = float(command.get('slow', self._slow))
+        self._leaving = bool(command.get('leaving', self._leaving))
         return json_response({'slow': self._slow})
 
     async def _run(self, request: Request) -> Response:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -14,15 +14,15 @@
 POLL_S = 0.05
 
 
-def wait_until(holds: Callable[[], Any], what: str) -> Any:
+def wait_until(condition: Callable[[], Any], description: str) -> Any:
     """Wait for an event and return what it told; it must come."""
     deadline = time.monotonic() + WAIT_S
     while time.monotonic() < deadline:
-        told = holds()
-        if told:
-            return told
+        outcome = condition()
+        if outcome:
+            return outcome
         time.sleep(POLL_S)
-    raise AssertionError(f'waited in vain: {what}')
+    raise AssertionError(f'waited in vain: {description}')
 
 
 def target(cluster: Cluster, *entries: Entry, **headers: str) -> Target:
@@ -52,11 +52,11 @@
     return Job(at_s, 'centro', 'order', 'service', 0, '')
 
 
-def send_jobs(jobs: list[Job], where: Target) -> list[Answer]:
+def send_jobs(jobs: list[Job], destination: Target) -> list[Answer]:
     """Send jobs and return their answers."""
     # A kept connection belongs to the event loop that opened it.
-    where.kept.clear()
-    return asyncio.run(play(number_jobs(jobs), where))
+    destination.kept.clear()
+    return asyncio.run(play(number_jobs(jobs), destination))
 
 
 def send_raw(address: str, wire: bytes, *, half_close: bool = False) -> bytes:
@@ -67,8 +67,8 @@
         if half_close:
             sock.shutdown(socket.SHUT_WR)
         answer = b''
-        while piece := sock.recv(65536):
-            answer += piece
+        while chunk := sock.recv(65536):
+            answer += chunk
         return answer
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -10,13 +10,13 @@
 from bench.load import Job, Target, play
 
 STREAMS = 2000
-SENDERS = 500
+STALLED_CONNECTIONS = 500
 # Request threads of both sides, store, default executor, loop.
-THREADS_MOST = 8 + 2 + 6 + 10 + 1
+MAX_THREADS = 8 + 2 + 6 + 10 + 1
 
 
 @pytest.fixture
-def alone():
+def single_entry():
     """Run one entry before an engine whose tokens take a second."""
     engine = {
         'step_ms': 1000,
@@ -34,13 +34,13 @@
         yield started
 
 
-def threads(cluster):
+def count_threads(cluster):
     """Return the threads of the entry."""
     pid = cluster.entries[0].process.pid
     return len(list(Path(f'/proc/{pid}/task').iterdir()))
 
 
-async def stall(address):
+async def open_stalled_connection(address):
     """Send half a head and keep the connection."""
     host, port = address.rsplit(':', 1)
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -51,34 +51,37 @@
 class TestCrowd:
     """Test one process under many callers."""
 
-    def test_nobody_holds_a_thread(self, alone):
+    def test_nobody_holds_a_thread(self, single_entry):
         """A new request is answered beside 2,000 streams and 500 stalls."""
-        entry = alone.entries[0]
-        where = Target([entry.callers], alone.keys, 'm1')
-        answers, probe, during = asyncio.run(self._crowd(alone, where))
+        entry = single_entry.entries[0]
+        destination = Target([entry.callers], single_entry.keys, 'm1')
+        answers, probe, thread_count = asyncio.run(
+            self._run_load(single_entry, destination)
+        )
         assert probe.whole
-        assert during <= THREADS_MOST
-        broken = [answer for answer in answers if not answer.whole]
-        assert not broken[:3]
+        assert thread_count <= MAX_THREADS
+        incomplete = [answer for answer in answers if not answer.whole]
+        assert not incomplete[:3]
         assert len(answers) == STREAMS
 
-    async def _crowd(self, alone, where):
+    async def _run_load(self, single_entry, destination):
         jobs = [
             Job(number / 1000, 'one', 'stream', 'engine', 6, 'p')
             for number in range(STREAMS)
         ]
-        streams = asyncio.ensure_future(play(number_jobs(jobs), where))
-        while alone.read('engine-0', '/load').get('running', 0) < 100:
+        streams = asyncio.ensure_future(play(number_jobs(jobs), destination))
+        while single_entry.read('engine-0', '/load').get('running', 0) < 100:
             await asyncio.sleep(0.2)
         stalled = [
-            await stall(alone.entries[0].callers) for _ in range(SENDERS)
+            await open_stalled_connection(single_entry.entries[0].callers)
+            for _ in range(STALLED_CONNECTIONS)
         ]
-        probe = await play([_probe()], where)
-        during = threads(alone)
+        probe = await play([_probe()], destination)
+        thread_count = count_threads(single_entry)
         answers = await streams
         for _, writer in stalled:
             writer.close()
-        return answers, probe[0], during
+        return answers, probe[0], thread_count
 
 
 def _probe():
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -11,9 +11,9 @@
 
     def test_examples_run(self):
         """What the README shows is what happens."""
-        found = doctest.testfile(
+        outcome = doctest.testfile(
             str(ROOT / 'README.md'),
             module_relative=False,
         )
-        assert found.attempted >= 6
-        assert found.failed == 0
+        assert outcome.attempted >= 6
+        assert outcome.failed == 0
