--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the systems around the router, one small file each."""
+"""Small fakes of the systems around the router."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,8 @@
-"""Run one stand-in as a process: ``python -m standins KIND ADDRESS JSON``."""
+"""Run one stand-in as a process: ``python -m standins KIND ADDRESS JSON``.
+
+KIND is ``engine``, ``service`` or ``platform``; any other word starts the
+fault-injecting proxies. ADDRESS is ``host:port``, JSON holds the options.
+"""
 
 import sys
 
@@ -12,7 +16,7 @@
 
 
 def main() -> None:
-    """Start the stand-in that the arguments name."""
+    """Run the stand-in given on the command line until it is cancelled."""
     kind, address, text = sys.argv[1:4]
     host, port = address.rsplit(':', 1)
     options = orjson.loads(text)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,9 +1,10 @@
-"""Stand in for a model engine with continuous batching.
+"""Fake model engine with continuous batching.
 
-One step yields one token for each running sequence; its time grows with the
-batch and with the prompts that are read in. ``metadata.tokens`` in a request
-sets the length of the answer, which the router cannot see; ``metadata.seed``
-makes each token checkable: token *i* reads ``<seed>-<i>``.
+Each step generates one token for every running sequence. A step takes longer
+the more sequences are running and the more prompt text it has to prefill.
+``metadata.tokens`` in a request sets the length of the answer, which the
+router does not read. ``metadata.seed`` lets callers check every token:
+token *i* reads ``<seed>-<i>``.
 """
 
 import asyncio
@@ -31,15 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOptions:
-    """Set how an engine behaves.
+    """Options of an engine.
 
-    :param step_ms: time of a step with one sequence.
-    :param sequence_ms: time that each further sequence adds to a step.
-    :param prefill_ms: time to read in one thousand characters of prompt.
-    :param batch: sequences that run at once.
-    :param cache: prompt prefixes that the cache holds.
+    :param step_ms: base duration of a step.
+    :param sequence_ms: time that each running sequence adds to a step.
+    :param prefill_ms: time to prefill one thousand characters of prompt.
+    :param batch: maximum number of sequences that run at once.
+    :param cache: maximum number of prompt prefixes in the cache.
     :param lag_s: age of the load reports.
-    :param checks_fence: whether orders with an old number are refused.
+    :param checks_fence: whether orders with an outdated fencing number are
+        refused.
+    :param load_s: time to load models that an order adds.
     """
 
     name: str
@@ -56,7 +59,17 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """Hold one running request of the engine."""
+    """One request to the engine, waiting or running.
+
+    :param length: index after the last token, counted from the start of the
+        answer also if the request resumes it.
+    :param start_index: index of the first token to generate; greater than 0
+        if the request resumes an answer.
+    :param generated: number of tokens generated for this request.
+    :param prefilled: whether the time for the prompt has been accounted for.
+    :param crossed: whether the answer simulates one to another request.
+    :param tokens: indices of tokens that are generated but not yet sent.
+    """
 
     request_id: str
     seed: str
@@ -73,10 +86,17 @@
 
 
 class Engine:
-    """Run sequences in one batch loop."""
+    """Engine that runs all sequences in one batch.
+
+    :ivar slow: factor on the duration of every step.
+    :ivar cross: number of coming requests to answer with another request's
+        answer.
+    :ivar fence: highest fencing number of an order so far.
+    :ivar orders: orders applied so far, each with whether it was late.
+    :ivar log: runs of each request by request id.
+    """
 
     def __init__(self, options: EngineOptions) -> None:
-        """Start idle with all models loaded."""
         self.options = options
         self.slow = 1.0
         self.leaving = False
@@ -97,7 +117,7 @@
         self._step_s = 0.0
 
     async def run(self) -> None:
-        """Run steps for ever."""
+        """Run steps until cancelled."""
         due = time.monotonic()
         while True:
             self._admit()
@@ -113,13 +133,21 @@
             self._emit()
 
     def submit(self, sequence: Sequence, priority: int) -> None:
-        """Queue a sequence."""
+        """Queue a sequence.
+
+        :param priority: lower numbers run first; equal ones run in order of
+            arrival.
+        """
         entry = (priority, next(self._arrivals), sequence)
         heapq.heappush(self._waiting, entry)
         self._wake.set()
 
     def load_report(self) -> dict:
-        """Return the load as it was some seconds ago."""
+        """Return the load as it was ``lag_s`` ago.
+
+        The leaving flag and the models are current. The load fields are
+        missing until the first report has reached that age.
+        """
         cutoff_s = time.monotonic() - self.options.lag_s
         delayed = {}
         while self._reports and self._reports[0][0] <= cutoff_s:
@@ -134,11 +162,20 @@
         }
 
     def events_after(self, number: int) -> list[dict]:
-        """Return late cache events, one in ten left out."""
+        """Return the cache events with a number above the given one.
+
+        About one event in ten was never recorded, which leaves a gap in the
+        numbers. Only the latest ``MAX_KEPT_EVENTS`` events are kept.
+        """
         return [event for event in self._events if event['number'] > number]
 
     async def order(self, order: dict) -> Response:
-        """Take an order that states a target; the same order is harmless."""
+        """Load and unload models until they are the set that the order states.
+
+        Repeating an order has no effect. An order with an outdated fencing
+        number is answered with status 409, or applied and recorded as late if
+        the engine does not check fencing numbers.
+        """
         fence = int(order.get('fence', 0))
         if self.options.checks_fence and fence < self.fence:
             return json_response({'error': 'old fence'}, 409)
@@ -167,6 +204,8 @@
         return step_ms * self.slow / 1000
 
     def _prefill_ms(self, sequence: Sequence) -> float:
+        # A resumed request also prefills the tokens answered so far, counted as
+        # 8 characters each.
         length = len(sequence.prompt) + 8 * sequence.start_index
         prefix = sequence.prompt[:256]
         if prefix in self._cache:
@@ -217,14 +256,13 @@
 
 
 class EngineApi:
-    """Answer HTTP requests for one engine."""
+    """HTTP API of an engine, with paths for faults and inspection."""
 
     def __init__(self, engine: Engine) -> None:
-        """Keep the engine."""
         self._engine = engine
 
     async def __call__(self, request: Request) -> Response:
-        """Answer one request."""
+        """Return the response to a request."""
         path = request.path
         if path in {'/v1/completions', '/v1/chat/completions'}:
             return self._complete(request)
@@ -264,7 +302,7 @@
         chat = request.path.endswith('chat/completions')
         sequence = _sequence(payload, chat=chat)
         if self._engine.cross > 0:
-            # The answer will be for a request that nobody here has made.
+            # Simulates an answer that belongs to a request of another caller.
             self._engine.cross -= 1
             sequence.crossed = True
             sequence.seed = 'other'
@@ -344,7 +382,7 @@
 
 
 async def run_engine(options: EngineOptions, host: str, port: int) -> None:
-    """Serve one engine until cancelled."""
+    """Serve an engine on an address until cancelled."""
     engine = Engine(options)
     server = await serve(EngineApi(engine), host, port)
     async with server:
--- a/standins/fault_proxy.py
+++ b/standins/fault_proxy.py
@@ -1,7 +1,7 @@
-"""Forward TCP and UDP to one target and inject faults on order.
+"""Proxies that forward TCP and UDP and inject faults on command.
 
-Faults are set for a pair of source address and target, so that a proxy can
-cut an instance off from some of its peers only.
+Each proxy has one target, and a fault applies either to one source address or
+to all. This allows separating an instance from only some of its peers.
 """
 
 import asyncio
@@ -16,12 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Describe what happens to traffic.
-
-    :param delay_s: time that each piece is held back.
-    :param refuse: whether new connections are reset.
-    :param drop_out: whether bytes to the target vanish.
-    :param drop_back: whether bytes from the target vanish.
+    """Faults injected into the traffic from a source address.
+
+    :param delay_s: time by which each read from a connection and each datagram
+        is delayed.
+    :param refuse: whether new connections are reset and datagrams dropped.
+    :param drop_out: whether data to the target is dropped.
+    :param drop_back: whether data from the target is dropped; TCP only, since
+        the target sends its datagrams directly.
     """
 
     delay_s: float = 0.0
@@ -31,41 +33,58 @@
 
 
 class FaultProxy:
-    """Forward the traffic of one target."""
+    """TCP and UDP proxy of one target."""
 
     def __init__(self, target: tuple[str, int]) -> None:
-        """Start without faults."""
         self._target = target
         self._faults: dict[str, Fault] = {}
         self._connections: set[_ForwardedConnection] = set()
 
     def fault(self, source: str) -> Fault:
-        """Return the fault in force for a source address."""
+        """Return the fault for a source address.
+
+        A source without a fault of its own has the one that is set for all.
+        """
         return self._faults.get(source) or self._faults.get('', Fault())
 
     def set_fault(self, fault: Fault, source: str = '') -> None:
-        """Put a fault in force; an empty source stands for all."""
+        """Set the fault for a source address.
+
+        :param source: empty to set the fault for all sources without one of
+            their own.
+        """
         self._faults[source] = fault
 
     def clear(self) -> None:
-        """Heal everything but the connections already silenced."""
+        """Remove all faults.
+
+        Connections already silenced by :meth:`silence_connections` stay silent.
+        """
         self._faults.clear()
 
     def reset_connections(self) -> int:
-        """Reset all open connections and return how many there were."""
+        """Reset all open connections.
+
+        :returns: number of connections that were open.
+        """
         connections = tuple(self._connections)
         for connection in connections:
             connection.abort()
         return len(connections)
 
     def silence_connections(self) -> int:
-        """Let all open connections go silent for good; new ones work."""
+        """Drop all further data on the connections that are open now.
+
+        They stay open; new connections are not affected.
+
+        :returns: number of connections that were open.
+        """
         for connection in self._connections:
             connection.silent = True
         return len(self._connections)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen for TCP and UDP on one address."""
+        """Listen for TCP and UDP on an address."""
         self._server = await asyncio.start_server(
             self._accept,
             host,
@@ -80,7 +99,7 @@
 
     @property
     def target(self) -> tuple[str, int]:
-        """Return the address that traffic is forwarded to."""
+        """Host and port that traffic is forwarded to."""
         return self._target
 
     async def _accept(
@@ -111,7 +130,11 @@
 
 
 class _ForwardedConnection:
-    """Own the two connections of one forwarded connection."""
+    """Client connection and its connection to the target.
+
+    :param client: reader and writer of the connection from the client.
+    :param upstream: reader and writer of the connection to the target.
+    """
 
     def __init__(
         self, proxy: FaultProxy, source: str, client, upstream
@@ -123,7 +146,7 @@
         self.silent = False
 
     async def run(self) -> None:
-        """Forward both ways until both ends are done."""
+        """Forward in both directions until both ends have closed."""
         client_reader, client_writer = self._client
         upstream_reader, upstream_writer = self._upstream
         await asyncio.gather(
@@ -151,7 +174,11 @@
 
 
 class _DatagramForwarder(asyncio.DatagramProtocol):
-    """Forward datagrams; the answers come from the target by themselves."""
+    """Forwards datagrams to the target.
+
+    Peers answer the address in a message, not the sender of the datagram, so
+    there is nothing to forward back.
+    """
 
     def __init__(self, proxy: FaultProxy) -> None:
         self._proxy = proxy
@@ -174,14 +201,16 @@
 
 
 class ProxyApi:
-    """Take orders for several proxies over HTTP."""
+    """HTTP API that injects faults into several proxies."""
 
     def __init__(self, proxies: dict[str, FaultProxy]) -> None:
-        """Keep the proxies by name."""
         self._proxies = proxies
 
     async def __call__(self, request: Request) -> Response:
-        """Carry out one order for one proxy, or for all of them."""
+        """Apply a command to the named proxy, or to all if it has no name.
+
+        :returns: response with the sum of connections and faults affected.
+        """
         command = request.json()
         name = command.pop('name', '')
         kind = command.pop('kind')
@@ -208,7 +237,12 @@
     host: str,
     port: int,
 ) -> None:
-    """Serve proxies by name, each from one address to another."""
+    """Serve proxies and their HTTP API until cancelled.
+
+    :param routes: listening address and target of each proxy by its name.
+    :param host: host of the HTTP API.
+    :param port: port of the HTTP API.
+    """
     proxies = {}
     for name, (listen, target) in routes.items():
         proxies[name] = FaultProxy(_address(target))
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,8 @@
-"""Stand in for the users' platform: its object store and its workers."""
+"""Fake platform for fleet instances: its object store and its workers.
+
+Unlike the other stand-ins these run in the process of the test, which sets
+their faults as attributes.
+"""
 
 import asyncio
 import itertools
@@ -20,10 +24,16 @@
 
 
 class ObjectStore:
-    """Keep objects with revisions and tell watches of changes."""
+    """Object store with revisions and watches.
+
+    :ivar history_from: lowest revision that a watch can start from; a lower
+        one is answered with status 410.
+    :ivar is_down: whether all calls end without a response.
+    :ivar stalls_watches: whether watches get no response once there is a
+        change to report; those without one still time out as usual.
+    """
 
     def __init__(self) -> None:
-        """Start empty."""
         self._objects: dict[tuple[str, str], dict[str, Any]] = {}
         self._changes: list[tuple[int, str, dict[str, Any], bool]] = []
         self._revisions = itertools.count(FIRST_REVISION)
@@ -34,7 +44,7 @@
         self.stalls_watches = False
 
     async def put(self, kind: str, name: str, spec: Any) -> None:
-        """Write an object as the operator or a worker does."""
+        """Write an object on behalf of an operator or a worker."""
         self._revision = next(self._revisions)
         stored = {
             'metadata': {'name': name, 'revision': self._revision},
@@ -44,20 +54,23 @@
         await self._record_change(kind, stored, is_deleted=False)
 
     async def remove(self, kind: str, name: str) -> None:
-        """Remove an object."""
+        """Remove an object; do nothing if there is none."""
         stored = self._objects.pop((kind, name), None)
         if stored is not None:
             self._revision = next(self._revisions)
             await self._record_change(kind, stored, is_deleted=True)
 
     def names(self, kind: str) -> set[str]:
-        """Return the names of a kind's objects."""
+        """Return the names of all objects of a kind."""
         return {
             name for stored_kind, name in self._objects if stored_kind == kind
         }
 
     async def __call__(self, request: Request) -> Response:
-        """Answer one call."""
+        """Return the response to a call.
+
+        :raises HangUpError: if the store is down.
+        """
         if self.is_down:
             raise HangUpError
         kind, _, name = request.path.removeprefix(PREFIX).partition('/')
@@ -123,7 +136,7 @@
         )
 
     async def take_down(self) -> None:
-        """Hang up on all calls, also those that wait."""
+        """End all calls without a response, pending watches included."""
         self.is_down = True
         async with self._changed:
             self._changed.notify_all()
@@ -142,13 +155,16 @@
 
 @dataclass(slots=True)
 class Faults:
-    """Set what a worker does wrong with its next requests.
-
-    :param declines: requests that it states it did not run.
-    :param hang_ups: requests after whose run it closes the connection.
-    :param cuts: streams that it breaks off after a few events.
-    :param silent: requests that it never answers.
-    :param bare_refusals: requests that it runs and answers 503.
+    """Number of coming requests on which a worker shows each fault.
+
+    :param declines: requests not run and answered 503 with the header that
+        says so.
+    :param hang_ups: requests run, after which the connection is closed without
+        a response.
+    :param cuts: streams broken off in the fourth event.
+    :param silent: requests run and never answered.
+    :param bare_refusals: requests run and answered 503 without the header that
+        says whether they were run.
     """
 
     declines: int = 0
@@ -160,9 +176,11 @@
 
 @dataclass(slots=True)
 class Worker:
-    """Run requests and keep a log of them.
+    """Backend server that records the requests it runs.
 
-    :param gap_s: pause between the events of a stream.
+    :param gap_s: pause before each event of a stream.
+    :param events: number of events of a stream.
+    :param runs: requests run so far.
     """
 
     name: str
@@ -172,7 +190,10 @@
     runs: list[Request] = field(default_factory=list)
 
     async def __call__(self, request: Request) -> Response:
-        """Answer one request."""
+        """Return the response to a request.
+
+        :raises HangUpError: if a fault closes the connection.
+        """
         if request.headers.get('x-expect-instance') != self.name:
             return Response(421)
         if self._consume_fault('declines'):
--- a/standins/http_server.py
+++ b/standins/http_server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP/1.1 for the stand-ins with one coroutine per request."""
+"""Minimal HTTP/1.1 server with a coroutine as request handler."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Describe one whole request."""
+    """A request received to its end.
+
+    :param query: query parameters; the last one counts if a name is repeated.
+    :param headers: headers by name in lower case.
+    """
 
     method: str
     path: str
@@ -21,13 +25,17 @@
     body: bytes
 
     def json(self) -> Any:
-        """Return the parsed body, an empty mapping where there is none."""
+        """Return the parsed JSON body, an empty mapping if it is empty."""
         return orjson.loads(self.body) if self.body else {}
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """Describe one answer; ``stream`` goes before ``body``."""
+    """A response.
+
+    :param stream: chunks of the body, sent as they come; ``body`` is ignored
+        if this is set.
+    """
 
     status: int = 200
     body: bytes = b''
@@ -36,14 +44,17 @@
 
 
 class HangUpError(Exception):
-    """Close the connection without an answer."""
+    """Raised by a handler to close the connection without a response.
+
+    Raised by a response's stream, it breaks the response off.
+    """
 
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 def json_response(document: Any, status: int = 200) -> Response:
-    """Answer with a JSON document."""
+    """Return a response with a JSON document as body."""
     return Response(
         status,
         orjson.dumps(document),
@@ -52,7 +63,10 @@
 
 
 async def serve(handler: Handler, host: str, port: int) -> asyncio.Server:
-    """Listen on an address and answer each request through the handler."""
+    """Listen on an address and pass each request to the handler.
+
+    Requests of one connection are handled one after another.
+    """
     loop = asyncio.get_running_loop()
     return await loop.create_server(
         lambda: _Connection(handler),
@@ -63,7 +77,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """Own one accepted connection."""
+    """Protocol of an accepted connection."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,8 +1,9 @@
-"""Stand in for the platform: object store, instance list, weight store.
+"""Fake platform: object store, instance list and weight store.
 
-The object store keeps versioned values up to a megabyte, with conditional
-updates and watches; it counts each call, limits the rates, and on order is
-down, slow, reads stale, or loses the confirmation of a write that took effect.
+The object store keeps versioned values of up to one megabyte and supports
+conditional updates and watches. It counts all calls and limits their rate. On
+command it is unavailable or slow, returns stale values, or applies a write and
+closes the connection without confirming it.
 """
 
 import asyncio
@@ -24,12 +25,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformOptions:
-    """Set the limits of the platform.
+    """Options of the platform.
 
-    :param writes_per_s: writes that the store takes.
-    :param reads_per_s: reads that the store takes.
-    :param list_lag_s: age of what the instance list tells.
-    :param weight_loads_per_s: loads that the weight store takes.
+    :param writes_per_s: maximum rate of writes to the object store.
+    :param reads_per_s: maximum rate of reads from the object store, watches
+        and listings included.
+    :param list_lag_s: age of the instance list.
+    :param weight_loads_per_s: maximum rate of loads from the weight store.
     """
 
     writes_per_s: float = 500
@@ -39,16 +41,19 @@
 
 
 class RateLimit:
-    """Allow a number of calls a second."""
+    """Token bucket that holds at most the calls of one second.
+
+    :param per_s: calls allowed per second. A rate below 1 still allows one
+        call once enough time has passed.
+    """
 
     def __init__(self, per_s: float) -> None:
-        """Start with a full second's allowance."""
         self._per_s = per_s
         self._tokens = per_s
         self._refilled_s = time.monotonic()
 
     def try_acquire(self) -> bool:
-        """Take one call from the allowance."""
+        """Take a token; return whether there was one."""
         now_s = time.monotonic()
         refilled = self._tokens + (now_s - self._refilled_s) * self._per_s
         self._tokens = min(max(1, self._per_s), refilled)
@@ -60,10 +65,18 @@
 
 
 class ObjectStore:
-    """Keep versioned objects in memory."""
+    """In-memory object store.
+
+    :ivar counts: number of calls by kind, of refusals by reason, of watches.
+    :ivar down: whether all calls end without a response.
+    :ivar slow_s: time added to each call.
+    :ivar lose_confirmations: number of coming writes that take effect but end
+        without a response.
+    :ivar stale_reads: number of coming reads of ``stale_key`` that return the
+        value before the latest write.
+    """
 
     def __init__(self, options: PlatformOptions) -> None:
-        """Start empty."""
         self._objects: dict[str, tuple[int, bytes]] = {}
         self._changed = asyncio.Condition()
         self._writes = RateLimit(options.writes_per_s)
@@ -78,7 +91,10 @@
         self._previous: dict[str, tuple[int, bytes]] = {}
 
     async def __call__(self, request: Request) -> Response:
-        """Answer one call."""
+        """Return the response to a call.
+
+        :raises HangUpError: if the store is down, or loses a confirmation.
+        """
         kind = 'read' if request.method == 'GET' else 'write'
         self.counts[kind] += 1
         if self.down:
@@ -160,24 +176,27 @@
 
 
 class InstanceList:
-    """Tell live and leaving instances as they were some time ago."""
+    """List of live and leaving instances, which lags behind its updates."""
 
     def __init__(self, options: PlatformOptions) -> None:
-        """Start with an empty list."""
         self._lag_s = options.list_lag_s
         self._current: dict[str, dict] = {}
         self._unpublished: deque[tuple[float, list]] = deque()
         self._published: list = []
 
     def list_response(self) -> Response:
-        """Answer with the list as it was."""
+        """Return a response with the list as it was ``list_lag_s`` ago."""
         cutoff_s = time.monotonic() - self._lag_s
         while self._unpublished and self._unpublished[0][0] <= cutoff_s:
             self._published = self._unpublished.popleft()[1]
         return json_response({'instances': self._published})
 
     def update(self, request: Request) -> Response:
-        """Add, change or remove instances."""
+        """Add, change or remove the instances in a request.
+
+        An instance with the state ``gone`` is removed. Fields missing in the
+        request keep their value.
+        """
         for instance in request.json():
             name = instance['name']
             if instance.get('state') == 'gone':
@@ -193,16 +212,18 @@
 
 
 class Platform:
-    """Answer for all the platform's services on one port."""
+    """HTTP API of the platform, with all its services on one port."""
 
     def __init__(self, options: PlatformOptions) -> None:
-        """Start all services empty."""
         self._store = ObjectStore(options)
         self._list = InstanceList(options)
         self._weight_loads = RateLimit(options.weight_loads_per_s)
 
     async def __call__(self, request: Request) -> Response:
-        """Answer one request."""
+        """Return the response to a request.
+
+        :raises HangUpError: if the object store does not answer.
+        """
         path = request.path
         if path.startswith('/objects'):
             return await self._store(request)
@@ -233,7 +254,7 @@
 
 
 async def run_platform(options: PlatformOptions, host: str, port: int) -> None:
-    """Serve the platform until cancelled."""
+    """Serve the platform on an address until cancelled."""
     server = await serve(Platform(options), host, port)
     async with server:
         await server.serve_forever()
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service that keeps a log of what it ran."""
+"""Fake plain service that logs every call it runs."""
 
 import asyncio
 import os
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceOptions:
-    """Set how a service behaves.
+    """Options of a service.
 
-    :param work_ms: time that one call takes.
+    :param work_ms: duration of a call.
     """
 
     name: str
@@ -20,17 +20,20 @@
 
 
 class Service:
-    """Run calls and log each run by its request id."""
+    """HTTP API of a service, with paths for faults and inspection."""
 
     def __init__(self, options: ServiceOptions) -> None:
-        """Start with an empty log."""
         self._options = options
         self._runs: list[dict] = []
         self._slow = 1.0
         self._leaving = False
 
     async def __call__(self, request: Request) -> Response:
-        """Answer one request."""
+        """Return the response to a request.
+
+        A call is logged before it takes its time, so that calls broken off by
+        the router are in the log as well.
+        """
         if request.path == '/log':
             return json_response(self._runs)
         if request.path == '/load':
@@ -68,7 +71,7 @@
 
 
 async def run_service(options: ServiceOptions, host: str, port: int) -> None:
-    """Serve one plain service until cancelled."""
+    """Serve a service on an address until cancelled."""
     server = await serve(Service(options), host, port)
     async with server:
         await server.serve_forever()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Set up what all tests share."""
+"""Settings and fixtures that several test modules share."""
 
 import os
 
@@ -8,7 +8,8 @@
 from bench.cluster import deployment, running
 
 os.environ['UV_USE_IO_URING'] = '0'
-# CI's verdict is the same on every run: no random seed, no deadline.
+# Makes CI runs reproducible: no random seed, and no deadline that a slow
+# machine would exceed.
 settings.register_profile(
     'ci',
     derandomize=True,
@@ -22,7 +23,7 @@
 
 @pytest.fixture(scope='session')
 def cluster():
-    """Run a deployment of three entries behind proxies for many tests."""
+    """Run three entries behind proxies, shared by the tests of a session."""
     plan = deployment(
         'fieltro-lanera',
         3,
@@ -36,7 +37,12 @@
 
 @pytest.fixture
 def restored(cluster):
-    """Give the shared deployment, and heal it afterwards."""
+    """Return the shared deployment and reset its faults afterwards.
+
+    This covers the proxies' faults, the store's outage and delay, and slow or
+    leaving engines. A test resets any other fault itself. Connections that were
+    silenced stay silent.
+    """
     yield cluster
     cluster.fault(kind='clear')
     cluster.order('platform', {'down': False, 'slow_s': 0}, '/admin/store')
@@ -47,7 +53,7 @@
 
 @pytest.fixture
 def fresh():
-    """Run a deployment of its own for a test that kills parts of it."""
+    """Run a separate deployment for a test that kills processes in it."""
     plan = deployment(
         'fieltro-lanera',
         3,
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Help the tests that drive real processes."""
+"""Helpers for tests that run a deployment as real processes."""
 
 import asyncio
 import socket
@@ -15,18 +15,25 @@
 
 
 def wait_until(condition: Callable[[], Any], description: str) -> Any:
-    """Wait for an event and return what it told; it must come."""
+    """Poll a condition until its result is true, and return that.
+
+    :raises AssertionError: if it is still false after ``WAIT_S``.
+    """
     deadline = time.monotonic() + WAIT_S
     while time.monotonic() < deadline:
         outcome = condition()
         if outcome:
             return outcome
         time.sleep(POLL_S)
-    raise AssertionError(f'waited in vain: {description}')
+    raise AssertionError(f'timed out waiting for {description}')
 
 
 def target(cluster: Cluster, *entries: Entry, **headers: str) -> Target:
-    """Return where to send requests, to some or all entries."""
+    """Return a target for requests to the entries.
+
+    :param entries: all entries of the cluster if none are given.
+    :param headers: headers added to each request.
+    """
     chosen = entries or tuple(cluster.entries)
     model = 'fieltro-chat'
     return Target(
@@ -38,29 +45,32 @@
 
 
 def counter(tokens: int = 5, at_s: float = 0.0, **more: Any) -> Job:
-    """Return a counter request."""
+    """Return a request of the class ``counter``, with a short answer."""
     return Job(at_s, 'centro', 'counter', 'engine', tokens, 'size?', **more)
 
 
 def pattern(tokens: int = 200, at_s: float = 0.0) -> Job:
-    """Return a long drafting job."""
+    """Return a request of the class ``pattern``, with a long answer."""
     return Job(at_s, 'centro', 'pattern', 'engine', tokens, 'all patterns')
 
 
 def order(at_s: float = 0.0) -> Job:
-    """Return an order, which must not run twice."""
+    """Return a request of the class ``order``, which must not run twice."""
     return Job(at_s, 'centro', 'order', 'service', 0, '')
 
 
 def send_jobs(jobs: list[Job], destination: Target) -> list[Answer]:
-    """Send jobs and return their answers."""
-    # A kept connection belongs to the event loop that opened it.
+    """Send jobs, each at its time, and return their answers."""
+    # Kept connections belong to an event loop that has ended.
     destination.kept.clear()
     return asyncio.run(play(number_jobs(jobs), destination))
 
 
 def send_raw(address: str, wire: bytes, *, half_close: bool = False) -> bytes:
-    """Send bytes and return all that is answered until the end."""
+    """Send bytes and return all that is received until the other side closes.
+
+    :param half_close: whether to close the sending direction afterwards.
+    """
     host, port = address.rsplit(':', 1)
     with socket.create_connection((host, int(port)), timeout=WAIT_S) as sock:
         sock.sendall(wire)
@@ -73,7 +83,7 @@
 
 
 def service_runs(cluster: Cluster) -> list[str]:
-    """Return the bodies of all calls that plain services ran."""
+    """Return the bodies of all calls that the plain services ran."""
     return [
         run['body']
         for name in cluster.plan.services
@@ -82,7 +92,10 @@
 
 
 def metric(cluster: Cluster, entry: Entry, name: str, label: str) -> float:
-    """Return one counter of an entry, 0 where it was never counted."""
+    """Return a metric of an entry, 0 if it is missing.
+
+    :param label: text that the line of the metric contains.
+    """
     text = cluster.http.request(
         'GET',
         f'http://{entry.operators}/metrics',
@@ -94,7 +107,7 @@
 
 
 def metric_sum(cluster: Cluster, name: str, label: str) -> float:
-    """Return one counter over all entries that run."""
+    """Return the sum of a metric over all running entries."""
     return sum(
         metric(cluster, entry, name, label)
         for entry in cluster.entries
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""Test that callers who wait, stream or stall hold no thread."""
+"""Test that waiting, streaming and stalled callers occupy no threads."""
 
 import asyncio
 from pathlib import Path
@@ -11,13 +11,14 @@
 
 STREAMS = 2000
 STALLED_CONNECTIONS = 500
-# Request threads of both sides, store, default executor, loop.
+# Request threads of the caller and operator listeners, object store, default
+# executor, event loop.
 MAX_THREADS = 8 + 2 + 6 + 10 + 1
 
 
 @pytest.fixture
 def single_entry():
-    """Run one entry before an engine whose tokens take a second."""
+    """Run one entry with engines that take a second for each token."""
     engine = {
         'step_ms': 1000,
         'sequence_ms': 0,
@@ -35,13 +36,13 @@
 
 
 def count_threads(cluster):
-    """Return the threads of the entry."""
+    """Return the number of threads of the first entry."""
     pid = cluster.entries[0].process.pid
     return len(list(Path(f'/proc/{pid}/task').iterdir()))
 
 
 async def open_stalled_connection(address):
-    """Send half a head and keep the connection."""
+    """Send part of a request head and leave the connection open."""
     host, port = address.rsplit(':', 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b'POST /v1/completions HTTP/1.1\r\nHost:')
@@ -49,10 +50,14 @@
 
 
 class TestCrowd:
-    """Test one process under many callers."""
+    """Test one entry with many concurrent callers."""
 
     def test_nobody_holds_a_thread(self, single_entry):
-        """A new request is answered beside 2,000 streams and 500 stalls."""
+        """A new request is answered beside 2,000 streams and 500 stalls.
+
+        If streams or unfinished request heads held a thread each, no request
+        thread would be left to answer.
+        """
         entry = single_entry.entries[0]
         destination = Target([entry.callers], single_entry.keys, 'm1')
         answers, probe, thread_count = asyncio.run(
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""Test that the examples in the docs run."""
+"""Test that the examples in the README run."""
 
 import doctest
 from pathlib import Path
@@ -7,10 +7,10 @@
 
 
 class TestReadme:
-    """Test the README."""
+    """Test the README as a doctest."""
 
     def test_examples_run(self):
-        """What the README shows is what happens."""
+        """All examples print what the README shows; there are at least six."""
         outcome = doctest.testfile(
             str(ROOT / 'README.md'),
             module_relative=False,
