--- a/standins/engine.py
+++ b/standins/engine.py
@@ -363,8 +363,8 @@
 
 def _token_event(sequence: Sequence, index: int) -> bytes:
     text = f'{sequence.seed}-{index} '
-    is_last = index + 1 >= sequence.length
-    choice: dict = {'index': 0, 'finish_reason': 'stop' if is_last else None}
+    last = index + 1 >= sequence.length
+    choice: dict = {'index': 0, 'finish_reason': 'stop' if last else None}
     if sequence.chat:
         choice['delta'] = {'role': 'assistant', 'content': text}
         kind = 'chat.completion.chunk'
