--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,8 +1,9 @@
-"""Stand in for the platform: object store, instance list, weight store.
+"""Fake platform: object store, instance list and weight store.
 
-The object store keeps versioned values up to a megabyte, with conditional
-updates and watches; it counts each call, limits the rates, and on order is
-down, slow, reads stale, or loses the confirmation of a write that took effect.
+The object store keeps versioned values of up to one megabyte and supports
+conditional updates and watches. It counts all calls and limits their rate. On
+command it is unavailable or slow, returns stale values, or applies a write and
+closes the connection without confirming it.
 """
 
 import asyncio
@@ -18,18 +19,19 @@
     serve,
 )
 
-VALUE_BYTES_MOST = 1_000_000
-WATCH_S_MOST = 30
+MAX_VALUE_BYTES = 1_000_000
+MAX_WATCH_S = 30
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformOptions:
-    """Set the limits of the platform.
+    """Options of the platform.
 
-    :param writes_per_s: writes that the store takes.
-    :param reads_per_s: reads that the store takes.
-    :param list_lag_s: age of what the instance list tells.
-    :param weight_loads_per_s: loads that the weight store takes.
+    :param writes_per_s: maximum rate of writes to the object store.
+    :param reads_per_s: maximum rate of reads from the object store, watches
+        and listings included.
+    :param list_lag_s: age of the instance list.
+    :param weight_loads_per_s: maximum rate of loads from the weight store.
     """
 
     writes_per_s: float = 500
@@ -38,36 +40,47 @@
     weight_loads_per_s: float = 2
 
 
-class Rate:
-    """Allow a number of calls a second."""
+class RateLimit:
+    """Token bucket that holds at most the calls of one second.
+
+    :param per_s: calls allowed per second. A rate below 1 still allows one
+        call once enough time has passed.
+    """
 
     def __init__(self, per_s: float) -> None:
-        """Start with a full second's allowance."""
         self._per_s = per_s
-        self._left = per_s
-        self._at = time.monotonic()
+        self._tokens = per_s
+        self._refilled_s = time.monotonic()
 
-    def allows(self) -> bool:
-        """Take one call from the allowance."""
+    def try_acquire(self) -> bool:
+        """Take a token; return whether there was one."""
         now_s = time.monotonic()
-        grown = self._left + (now_s - self._at) * self._per_s
-        self._left = min(max(1, self._per_s), grown)
-        self._at = now_s
-        if self._left < 1:
+        refilled = self._tokens + (now_s - self._refilled_s) * self._per_s
+        self._tokens = min(max(1, self._per_s), refilled)
+        self._refilled_s = now_s
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
 class ObjectStore:
-    """Keep versioned objects in memory."""
+    """In-memory object store.
+
+    :ivar counts: number of calls by kind, of refusals by reason, of watches.
+    :ivar down: whether all calls end without a response.
+    :ivar slow_s: time added to each call.
+    :ivar lose_confirmations: number of coming writes that take effect but end
+        without a response.
+    :ivar stale_reads: number of coming reads of ``stale_key`` that return the
+        value before the latest write.
+    """
 
     def __init__(self, options: PlatformOptions) -> None:
-        """Start empty."""
         self._objects: dict[str, tuple[int, bytes]] = {}
         self._changed = asyncio.Condition()
-        self._writes = Rate(options.writes_per_s)
-        self._reads = Rate(options.reads_per_s)
+        self._writes = RateLimit(options.writes_per_s)
+        self._reads = RateLimit(options.reads_per_s)
         self._version = 0
         self.counts: Counter[str] = Counter()
         self.down = False
@@ -75,17 +88,20 @@
         self.lose_confirmations = 0
         self.stale_reads = 0
         self.stale_key = ''
-        self._earlier: dict[str, tuple[int, bytes]] = {}
+        self._previous: dict[str, tuple[int, bytes]] = {}
 
     async def __call__(self, request: Request) -> Response:
-        """Answer one call."""
+        """Return the response to a call.
+
+        :raises HangUpError: if the store is down, or loses a confirmation.
+        """
         kind = 'read' if request.method == 'GET' else 'write'
         self.counts[kind] += 1
         if self.down:
             self.counts['refused_down'] += 1
             raise HangUpError
         rate = self._reads if kind == 'read' else self._writes
-        if not rate.allows():
+        if not rate.try_acquire():
             self.counts['refused_rate'] += 1
             return json_response({'error': 'too many calls'}, 429)
         await asyncio.sleep(self.slow_s)
@@ -99,16 +115,16 @@
             return self._list(request.query['prefix'])
         if 'watch' in request.query:
             self.counts['watch'] += 1
-            await self._wait_newer(key, request.query)
+            await self._wait_for_newer(key, request.query)
         if self.down:
             raise HangUpError
         if key not in self._objects:
             return json_response({'error': 'no such object'}, 404)
         version, body = self._objects[key]
-        stale = key == self.stale_key and key in self._earlier
+        stale = key == self.stale_key and key in self._previous
         if self.stale_reads > 0 and stale:
             self.stale_reads -= 1
-            version, body = self._earlier[key]
+            version, body = self._previous[key]
         return Response(200, body, {'ETag': str(version)})
 
     def _list(self, prefix: str) -> Response:
@@ -120,29 +136,29 @@
             },
         )
 
-    async def _wait_newer(self, key: str, query: dict) -> None:
-        known = int(query['watch'])
-        wait_s = min(float(query.get('wait_s', 10)), WATCH_S_MOST)
+    async def _wait_for_newer(self, key: str, query: dict) -> None:
+        known_version = int(query['watch'])
+        wait_s = min(float(query.get('wait_s', 10)), MAX_WATCH_S)
         try:
             async with asyncio.timeout(wait_s), self._changed:
                 await self._changed.wait_for(
-                    lambda: self._objects.get(key, (0,))[0] > known,
+                    lambda: self._objects.get(key, (0,))[0] > known_version,
                 )
         except TimeoutError:
             return
 
     async def _write(self, key: str, request: Request) -> Response:
-        if len(request.body) > VALUE_BYTES_MOST:
+        if len(request.body) > MAX_VALUE_BYTES:
             return json_response({'error': 'too large'}, 413)
         current = self._objects.get(key, (0, b''))[0]
-        if not _matches(request, current):
+        if not _precondition_holds(request, current):
             return json_response({'error': 'other version'}, 412)
         if request.method == 'DELETE':
             self._objects.pop(key, None)
         else:
             self._version += 1
             if key in self._objects:
-                self._earlier[key] = self._objects[key]
+                self._previous[key] = self._objects[key]
             self._objects[key] = (self._version, request.body)
         async with self._changed:
             self._changed.notify_all()
@@ -152,85 +168,93 @@
         return Response(204, b'', {'ETag': str(self._version)})
 
 
-def _matches(request: Request, current: int) -> bool:
+def _precondition_holds(request: Request, current: int) -> bool:
     if request.headers.get('if-none-match') == '*':
         return current == 0
-    wanted = request.headers.get('if-match')
-    return wanted is None or int(wanted) == current
+    expected = request.headers.get('if-match')
+    return expected is None or int(expected) == current
 
 
 class InstanceList:
-    """Tell live and leaving instances as they were some time ago."""
+    """List of live and leaving instances, which lags behind its updates."""
 
     def __init__(self, options: PlatformOptions) -> None:
-        """Start with an empty list."""
         self._lag_s = options.list_lag_s
-        self._now: dict[str, dict] = {}
-        self._past: deque[tuple[float, list]] = deque()
-        self._told: list = []
-
-    def tell(self) -> Response:
-        """Answer with the list as it was."""
-        bound = time.monotonic() - self._lag_s
-        while self._past and self._past[0][0] <= bound:
-            self._told = self._past.popleft()[1]
-        return json_response({'instances': self._told})
-
-    def change(self, request: Request) -> Response:
-        """Add, change or remove instances."""
+        self._current: dict[str, dict] = {}
+        self._unpublished: deque[tuple[float, list]] = deque()
+        self._published: list = []
+
+    def list_response(self) -> Response:
+        """Return a response with the list as it was ``list_lag_s`` ago."""
+        cutoff_s = time.monotonic() - self._lag_s
+        while self._unpublished and self._unpublished[0][0] <= cutoff_s:
+            self._published = self._unpublished.popleft()[1]
+        return json_response({'instances': self._published})
+
+    def update(self, request: Request) -> Response:
+        """Add, change or remove the instances in a request.
+
+        An instance with the state ``gone`` is removed. Fields missing in the
+        request keep their value.
+        """
         for instance in request.json():
             name = instance['name']
             if instance.get('state') == 'gone':
-                self._now.pop(name, None)
+                self._current.pop(name, None)
             else:
-                self._now[name] = {**self._now.get(name, {}), **instance}
-        snapshot = [dict(instance) for instance in self._now.values()]
-        self._past.append((time.monotonic(), snapshot))
+                self._current[name] = {
+                    **self._current.get(name, {}),
+                    **instance,
+                }
+        snapshot = [dict(instance) for instance in self._current.values()]
+        self._unpublished.append((time.monotonic(), snapshot))
         return json_response({'instances': len(snapshot)})
 
 
 class Platform:
-    """Answer for all the platform's services on one port."""
+    """HTTP API of the platform, with all its services on one port."""
 
     def __init__(self, options: PlatformOptions) -> None:
-        """Start all services empty."""
         self._store = ObjectStore(options)
         self._list = InstanceList(options)
-        self._weights = Rate(options.weight_loads_per_s)
+        self._weight_loads = RateLimit(options.weight_loads_per_s)
 
     async def __call__(self, request: Request) -> Response:
-        """Answer one request."""
+        """Return the response to a request.
+
+        :raises HangUpError: if the object store does not answer.
+        """
         path = request.path
         if path.startswith('/objects'):
             return await self._store(request)
         if path == '/instances':
-            return self._list.tell()
+            return self._list.list_response()
         if path.startswith('/weights/'):
-            allowed = self._weights.allows()
+            allowed = self._weight_loads.try_acquire()
             return json_response({'allowed': allowed}, 200 if allowed else 429)
         return self._admin(path, request)
 
     def _admin(self, path: str, request: Request) -> Response:
         if path == '/admin/instances':
-            return self._list.change(request)
+            return self._list.update(request)
         if path == '/admin/counts':
             return json_response(self._store.counts)
         if path != '/admin/store':
             return json_response({'error': 'no such path'}, 404)
-        order = request.json()
+        command = request.json()
         store = self._store
-        store.down = bool(order.get('down', store.down))
-        store.slow_s = float(order.get('slow_s', store.slow_s))
-        store.stale_reads = int(order.get('stale_reads', store.stale_reads))
-        store.stale_key = order.get('stale_key', store.stale_key)
+        store.down = bool(command.get('down', store.down))
+        store.slow_s = float(command.get('slow_s', store.slow_s))
+        store.stale_reads = int(command.get('stale_reads', store.stale_reads))
+        store.stale_key = command.get('stale_key', store.stale_key)
         store.lose_confirmations = int(
-            order.get('lose_confirmations', store.lose_confirmations),
+            command.get('lose_confirmations', store.lose_confirmations),
         )
         return json_response({'down': store.down})
 
 
 async def run_platform(options: PlatformOptions, host: str, port: int) -> None:
-    """Serve the platform until cancelled."""
+    """Serve the platform on an address until cancelled."""
     server = await serve(Platform(options), host, port)
     async with server:
         await server.serve_forever()
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""Test that callers who wait, stream or stall hold no thread."""
+"""Test that waiting, streaming and stalled callers occupy no threads."""
 
 import asyncio
 from pathlib import Path
@@ -10,14 +10,15 @@
 from bench.load import Job, Target, play
 
 STREAMS = 2000
-SENDERS = 500
-# Request threads of both sides, store, default executor, loop.
-THREADS_MOST = 8 + 2 + 6 + 10 + 1
+STALLED_CONNECTIONS = 500
+# Request threads of the caller and operator listeners, object store, default
+# executor, event loop.
+MAX_THREADS = 8 + 2 + 6 + 10 + 1
 
 
 @pytest.fixture
-def alone():
-    """Run one entry before an engine whose tokens take a second."""
+def single_entry():
+    """Run one entry with engines that take a second for each token."""
     engine = {
         'step_ms': 1000,
         'sequence_ms': 0,
@@ -34,14 +35,14 @@
         yield started
 
 
-def threads(cluster):
-    """Return the threads of the entry."""
+def count_threads(cluster):
+    """Return the number of threads of the first entry."""
     pid = cluster.entries[0].process.pid
     return len(list(Path(f'/proc/{pid}/task').iterdir()))
 
 
-async def stall(address):
-    """Send half a head and keep the connection."""
+async def open_stalled_connection(address):
+    """Send part of a request head and leave the connection open."""
     host, port = address.rsplit(':', 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b'POST /v1/completions HTTP/1.1\r\nHost:')
@@ -49,36 +50,43 @@
 
 
 class TestCrowd:
-    """Test one process under many callers."""
-
-    def test_nobody_holds_a_thread(self, alone):
-        """A new request is answered beside 2,000 streams and 500 stalls."""
-        entry = alone.entries[0]
-        where = Target([entry.callers], alone.keys, 'm1')
-        answers, probe, during = asyncio.run(self._crowd(alone, where))
+    """Test one entry with many concurrent callers."""
+
+    def test_nobody_holds_a_thread(self, single_entry):
+        """A new request is answered beside 2,000 streams and 500 stalls.
+
+        If streams or unfinished request heads held a thread each, no request
+        thread would be left to answer.
+        """
+        entry = single_entry.entries[0]
+        destination = Target([entry.callers], single_entry.keys, 'm1')
+        answers, probe, thread_count = asyncio.run(
+            self._run_load(single_entry, destination)
+        )
         assert probe.whole
-        assert during <= THREADS_MOST
-        broken = [answer for answer in answers if not answer.whole]
-        assert not broken[:3]
+        assert thread_count <= MAX_THREADS
+        incomplete = [answer for answer in answers if not answer.whole]
+        assert not incomplete[:3]
         assert len(answers) == STREAMS
 
-    async def _crowd(self, alone, where):
+    async def _run_load(self, single_entry, destination):
         jobs = [
             Job(number / 1000, 'one', 'stream', 'engine', 6, 'p')
             for number in range(STREAMS)
         ]
-        streams = asyncio.ensure_future(play(number_jobs(jobs), where))
-        while alone.read('engine-0', '/load').get('running', 0) < 100:
+        streams = asyncio.ensure_future(play(number_jobs(jobs), destination))
+        while single_entry.read('engine-0', '/load').get('running', 0) < 100:
             await asyncio.sleep(0.2)
         stalled = [
-            await stall(alone.entries[0].callers) for _ in range(SENDERS)
+            await open_stalled_connection(single_entry.entries[0].callers)
+            for _ in range(STALLED_CONNECTIONS)
         ]
-        probe = await play([_probe()], where)
-        during = threads(alone)
+        probe = await play([_probe()], destination)
+        thread_count = count_threads(single_entry)
         answers = await streams
         for _, writer in stalled:
             writer.close()
-        return answers, probe[0], during
+        return answers, probe[0], thread_count
 
 
 def _probe():
