--- a/src/siskinpass/platform/settings_file.py
+++ b/src/siskinpass/platform/settings_file.py
@@ -71,15 +71,15 @@
         metrics_port=int(ports[1]),
         store=read_field(store, 'address', str),
         is_first_start=read_field(table, 'bootstrap', bool, default=False),
-        operator_bounds=_promises(read_field(table, 'bounds', dict, {})),
+        operator_bounds=_operator_bounds(read_field(table, 'bounds', dict, {})),
     )
 
 
-def _promises(bounds: Mapping[str, Any]) -> OperatorBounds:
+def _operator_bounds(bounds: Mapping[str, Any]) -> OperatorBounds:
     default = OperatorBounds()
     retries = default.retries
     return OperatorBounds(
-        contact_s=_milliseconds(bounds, 'contact-ms', default.contact_s),
+        contact_s=_seconds_from_ms(bounds, 'contact-ms', default.contact_s),
         grace_s=_number(bounds, 'grace-s', default.grace_s),
         directory_s=_number(bounds, 'ttl_max_s', default.directory_s),
         retries=RetryBounds(
@@ -94,7 +94,7 @@
     return float(read_field(bounds, name, NUMBER, default))
 
 
-def _milliseconds(
+def _seconds_from_ms(
     bounds: Mapping[str, Any],
     name: str,
     default_s: float,
--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -32,7 +32,7 @@
 from siskinpass.process.rendezvous import holder, rank
 from siskinpass.request.ticket import Ticket
 
-MIN_PARTITION_SERVERS = 3
+MIN_SERVERS_FOR_RESERVING = 3
 # A plain server (one without a model engine) that fails all requests costs as
 # much as one with this many requests for each of its slots.
 PLAIN_FAILURE_WEIGHT = 3.0
@@ -96,11 +96,11 @@
     duplicate_prefill_factor: float = 10.0
     non_home_tokens: float = 8000.0
     tight_non_home_factor: float = 0.6
-    partition_penalty: float = 500_000.0
-    streams_per_partition_server: int = 20
-    min_partition_fraction: float = 0.25
-    max_partition_fraction: float = 0.5
-    partition_decay_s: float = 15.0
+    reservation_penalty: float = 500_000.0
+    streams_per_reserved_server: int = 20
+    min_reserved_fraction: float = 0.25
+    max_reserved_fraction: float = 0.5
+    reserved_decay_s: float = 15.0
     failure_tokens: float = 100_000.0
     long_prompt_tokens: int = 4096
     backlog_s: float = 0.25
@@ -114,7 +114,7 @@
 
     def __init__(self, policy: AffinityPolicy | None = None) -> None:
         self._policy = policy or AffinityPolicy()
-        self._partition = _PartitionSize(self._policy)
+        self._reserved = _ReservedServers(self._policy)
 
     def __call__(self, table: ServerTable, ticket: Ticket) -> Server | None:
         """Return the cheapest server, or ``None`` if the ticket should wait.
@@ -131,8 +131,8 @@
         if not ticket.pieces:
             best = min(servers, key=partial(_plain_cost, now_s=table.now_s))
             return best if self._has_slot(best) else None
-        partition = self._partition.names(free, table.now_s)
-        cost = _PromptCost(self._policy, table, ticket, partition, servers)
+        reserved = self._reserved.names(free, table.now_s)
+        cost = _PromptCost(self._policy, table, ticket, reserved, servers)
         best = min(servers, key=cost.of)
         return best if self._has_room(best, ticket, table.now_s) else None
 
@@ -171,7 +171,7 @@
         return server.prefill.backlog_s(ticket.tier, now_s) <= policy.backlog_s
 
 
-class _PartitionSize:
+class _ReservedServers:
     """Size the partition by the number of running tight streams."""
 
     def __init__(self, policy: AffinityPolicy) -> None:
@@ -191,22 +191,20 @@
         :param servers: those with a free slot.
         :returns: empty if there are fewer than ``MIN_PARTITION_SERVERS``.
         """
-        if len(servers) < MIN_PARTITION_SERVERS:
+        if len(servers) < MIN_SERVERS_FOR_RESERVING:
             return frozenset()
         tight = sum(server.load.tight for server in servers)
         passed_s = now_s - self._updated_s
         self._updated_s = now_s
         held = self._streams * math.exp(
-            -passed_s / self._policy.partition_decay_s
+            -passed_s / self._policy.reserved_decay_s
         )
         self._streams = max(float(tight), held)
         wanted_size = max(
-            round(self._policy.min_partition_fraction * len(servers)),
-            math.ceil(
-                self._streams / self._policy.streams_per_partition_server
-            ),
+            round(self._policy.min_reserved_fraction * len(servers)),
+            math.ceil(self._streams / self._policy.streams_per_reserved_server),
         )
-        max_size = int(len(servers) * self._policy.max_partition_fraction)
+        max_size = int(len(servers) * self._policy.max_reserved_fraction)
         ordered = self._rank(server.view.name for server in servers)
         return frozenset(ordered[: max(1, min(wanted_size, max_size))])
 
@@ -231,7 +229,7 @@
         policy: AffinityPolicy,
         table: ServerTable,
         ticket: Ticket,
-        partition: frozenset[str],
+        reserved: frozenset[str],
         servers: Sequence[Server],
     ) -> None:
         """Look up the cached tokens and the home of the prompt.
@@ -241,7 +239,7 @@
         """
         self._policy = policy
         self._ticket = ticket
-        self._partition = partition
+        self._reserved = reserved
         self._now_s = table.now_s
         self._cached = {
             server.view.name: table.cache.cached_tokens(
@@ -250,7 +248,7 @@
             )
             for server in table.servers
         }
-        self._most_cached = max(self._cached.values())
+        self._max_cached = max(self._cached.values())
         self._home = self._find_home(servers)
 
     def of(self, server: Server) -> tuple[float, str]:
@@ -263,13 +261,13 @@
         behind = sum(load.unread) - ahead
         cost = ahead + behind * policy.lower_tier_weight
         cost += self._ticket.tokens_in - cached_tokens
-        cost += (self._most_cached - cached_tokens) * (
+        cost += (self._max_cached - cached_tokens) * (
             policy.duplicate_prefill_factor - 1
         )
         cost += load.running * policy.running_request_tokens
         cost += server.failure_rate_at(self._now_s) * policy.failure_tokens
         cost += 0 if name == self._home else self._non_home_cost()
-        return cost + self._partition_cost(server), name
+        return cost + self._reservation_cost(server), name
 
     def _find_home(self, servers: Sequence[Server]) -> str:
         """Return the home of the prompt's last shared part.
@@ -278,11 +276,11 @@
         it outside, as long as there are such servers.
         """
         names = {server.view.name for server in servers}
-        if self._partition:
+        if self._reserved:
             allowed = (
-                self._partition
+                self._reserved
                 if self._ticket.is_tight
-                else names - self._partition
+                else names - self._reserved
             )
             names = (names & allowed) or names
         shared = self._ticket.pieces[:-1] or self._ticket.pieces
@@ -298,9 +296,9 @@
             shared * policy.tight_non_home_factor,
         )
 
-    def _partition_cost(self, server: Server) -> float:
-        in_partition = server.view.name in self._partition
-        if not self._partition:
+    def _reservation_cost(self, server: Server) -> float:
+        is_reserved = server.view.name in self._reserved
+        if not self._reserved:
             return 0.0
         if self._ticket.is_tight:
             # Only servers of the partition have a paced backlog that differs
@@ -310,11 +308,11 @@
                 * PREFILL_TOKENS_PER_S
             )
             return (
-                pace if in_partition else pace + self._policy.partition_penalty
+                pace if is_reserved else pace + self._policy.reservation_penalty
             )
         is_long = self._ticket.tokens_in > self._policy.long_prompt_tokens
         return (
-            self._policy.partition_penalty if in_partition and is_long else 0.0
+            self._policy.reservation_penalty if is_reserved and is_long else 0.0
         )
 
 
--- a/src/siskinpass/process/attempt.py
+++ b/src/siskinpass/process/attempt.py
@@ -118,7 +118,7 @@
         """Give up a caller that does not read."""
         self.break_off(CallerGoneError(Code.stream_cut))
 
-    def set_flow(self, *, on: bool) -> None:
+    def set_reading(self, *, on: bool) -> None:
         """Slow down or go on, by the pace of the caller."""
         self.stalled_s = 0.0 if on else self._loop.time()
         if self._connection is not None:
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -72,7 +72,7 @@
     at_random: bool = False
     chooser: Chooser | None = None
     moves: bool = True
-    memory_tokens: int = 0
+    kv_capacity_tokens: int = 0
     probe_after: int = 1
 
 
@@ -85,7 +85,7 @@
             policy.limit,
             at_random=policy.at_random,
             chooser=policy.chooser,
-            memory_tokens=policy.memory_tokens,
+            kv_capacity_tokens=policy.kv_capacity_tokens,
             probe_after=policy.probe_after,
         )
         self._waiting = WaitingTickets()
--- a/src/siskinpass/process/cache_map.py
+++ b/src/siskinpass/process/cache_map.py
@@ -19,18 +19,18 @@
 class ServerCache:
     """Prompt parts that one server probably has cached."""
 
-    def __init__(self, memory_tokens: int) -> None:
+    def __init__(self, kv_capacity_tokens: int) -> None:
         """Initialize an empty cache.
 
         :param memory_tokens: KV cache capacity of the engine in tokens.
         """
         self._parts: OrderedDict[int, int] = OrderedDict()
         self._tokens = 0
-        self.resize(memory_tokens)
+        self.resize(kv_capacity_tokens)
 
-    def resize(self, memory_tokens: int) -> None:
+    def resize(self, kv_capacity_tokens: int) -> None:
         """Set the engine's memory size and evict parts that do not fit."""
-        self._capacity_tokens = memory_tokens * CACHE_FRACTION
+        self._max_cached_tokens = kv_capacity_tokens * CACHE_FRACTION
         self._evict_oldest()
 
     def cached_tokens(self, pieces: Sequence[PromptPiece]) -> int:
@@ -53,7 +53,7 @@
         self._evict_oldest()
 
     def _evict_oldest(self) -> None:
-        while self._tokens > self._capacity_tokens and self._parts:
+        while self._tokens > self._max_cached_tokens and self._parts:
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
@@ -61,12 +61,12 @@
 class CacheMap:
     """Prompt parts that the servers of a group probably have cached."""
 
-    def __init__(self, memory_tokens: int) -> None:
+    def __init__(self, kv_capacity_tokens: int) -> None:
         """Initialize a map without servers.
 
         :param memory_tokens: KV cache capacity of each engine in tokens.
         """
-        self._memory_tokens = memory_tokens
+        self._kv_capacity_tokens = kv_capacity_tokens
         self._caches: dict[str, ServerCache] = {}
 
     def cached_tokens(self, server: str, pieces: Sequence[PromptPiece]) -> int:
@@ -81,16 +81,16 @@
         """Record the parts of a prompt that was placed on a server."""
         cache = self._caches.get(server)
         if cache is None:
-            cache = ServerCache(self._memory_tokens)
+            cache = ServerCache(self._kv_capacity_tokens)
             self._caches[server] = cache
         cache.record(pieces)
 
-    def resize(self, memory_tokens: int) -> None:
+    def resize(self, kv_capacity_tokens: int) -> None:
         """Set the memory size of all engines."""
-        if memory_tokens != self._memory_tokens:
-            self._memory_tokens = memory_tokens
+        if kv_capacity_tokens != self._kv_capacity_tokens:
+            self._kv_capacity_tokens = kv_capacity_tokens
             for cache in self._caches.values():
-                cache.resize(memory_tokens)
+                cache.resize(kv_capacity_tokens)
 
     def remove_server(self, server: str) -> None:
         """Drop the cache of a server that has ended or restarted."""
--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -99,22 +99,24 @@
         if connection is not None:
             connection.cancel()
 
-    async def wait(self, limits: AttemptTimeouts | None) -> AttemptResult:
+    async def wait(self, timeouts: AttemptTimeouts | None) -> AttemptResult:
         """Wait for the end of the attempt.
 
         An attempt that exceeds a limit is aborted and counts as failed.
 
         :param limits: longest silence of the server, ``None`` for no limit.
         """
-        while limits and not self.finished.done():
-            allowed_s = limits.pause_s if self._has_received else limits.first_s
+        while timeouts and not self.finished.done():
+            allowed_s = (
+                timeouts.pause_s if self._has_received else timeouts.first_s
+            )
             remaining_s = self._last_received_s + allowed_s - self._loop.time()
             if remaining_s <= 0:
                 self._abort(f'no data received for {allowed_s:.1f} s')
             await asyncio.wait((self.finished,), timeout=max(0, remaining_s))
         return await self.finished
 
-    def set_flow(self, *, on: bool) -> None:
+    def set_reading(self, *, on: bool) -> None:
         """Pause or resume reading, as backpressure from the caller requires."""
         if self._connection is not None:
             self._connection.set_reading(on=on)
@@ -195,9 +197,9 @@
         ending = AttemptOutcome.cut if self.has_begun else AttemptOutcome.lost
         return AttemptResult(ending, self._head, cause=cause)
 
-    def _end(self, outcome: AttemptResult) -> None:
+    def _end(self, attempt_result: AttemptResult) -> None:
         if not self.finished.done():
-            self.finished.set_result(outcome)
+            self.finished.set_result(attempt_result)
 
 
 def _rejection_of(head: AnswerHead) -> str:
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -103,7 +103,7 @@
             self.release(ticket, failed=False)
             raise
 
-    def note_prompt_read(self, ticket: Ticket) -> None:
+    def complete_prefill(self, ticket: Ticket) -> None:
         """Remove the prompt from the prefill work of the ticket's server."""
         self._apply(ticket.pool, PrefillCompleted(ticket.ticket_id))
 
@@ -137,8 +137,8 @@
         for pool in self._brokers.keys() | by_pool.keys():
             # The configuration may arrive after the engines that it describes
             # were listed, so their cache size is updated each time.
-            memory_tokens = self._policy_for(pool).memory_tokens
-            self.broker(pool).table.cache.resize(memory_tokens)
+            kv_capacity_tokens = self._policy_for(pool).kv_capacity_tokens
+            self.broker(pool).table.cache.resize(kv_capacity_tokens)
             self._apply(pool, ServersListed(tuple(by_pool.get(pool, ()))))
 
     def set_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -152,7 +152,7 @@
         Each attempt's first event marks its prompt as read.
         """
         if self._ticket is not None:
-            self._context.assigner.note_prompt_read(self._ticket)
+            self._context.assigner.complete_prefill(self._ticket)
             self._ticket = None
         if not self._has_begun:
             self._has_begun = True
@@ -200,16 +200,16 @@
 
     async def _attempt_all(self, plan: '_Plan') -> None:
         while True:
-            outcome = await self._attempt(plan)
-            if outcome.is_success:
-                self._deliver(plan, outcome)
+            attempt_result = await self._attempt(plan)
+            if attempt_result.is_success:
+                self._deliver(plan, attempt_result)
                 return
-            step = self._next_step(plan, outcome)
-            self._log_step(plan, outcome, step)
+            step = self._next_step(plan, attempt_result)
+            self._log_step(plan, attempt_result, step)
             if step not in {NextStep.resend, NextStep.resume}:
-                self._finish(step, outcome)
+                self._finish(step, attempt_result)
                 return
-            self._context.metrics.retried(_RETRY_CODES[outcome.ending])
+            self._context.metrics.retried(_RETRY_CODES[attempt_result.ending])
 
     async def _attempt(self, plan: '_Plan') -> AttemptResult:
         ticket = make_ticket(
@@ -221,16 +221,18 @@
         self._server = view.name
         self._ticket = ticket
         self._log_grant(ticket, view)
-        outcome = None
+        attempt_result = None
         try:
-            outcome = await self._send(plan, ticket, view)
+            attempt_result = await self._send(plan, ticket, view)
         finally:
-            self._release(ticket, outcome)
+            self._release(ticket, attempt_result)
         self._avoid = view.name
-        return outcome
+        return attempt_result
 
-    def _release(self, ticket: Ticket, outcome: AttemptResult | None) -> None:
-        ending = outcome.ending if outcome else None
+    def _release(
+        self, ticket: Ticket, attempt_result: AttemptResult | None
+    ) -> None:
+        ending = attempt_result.ending if attempt_result else None
         self._context.assigner.release(
             ticket,
             failed=ending
@@ -282,7 +284,7 @@
         request, which ``_end_timed_out`` has to know.
         """
         self._in_flight = True
-        self._caller.on_writable = receiver.set_flow
+        self._caller.on_writable = receiver.set_reading
         try:
             yield
         finally:
@@ -290,32 +292,41 @@
             self._caller.on_writable = None
         self._in_flight = False
 
-    def _next_step(self, plan: '_Plan', outcome: AttemptResult) -> NextStep:
-        if outcome.ending in {AttemptOutcome.unsent, AttemptOutcome.declined}:
+    def _next_step(
+        self, plan: '_Plan', attempt_result: AttemptResult
+    ) -> NextStep:
+        if attempt_result.ending in {
+            AttemptOutcome.unsent,
+            AttemptOutcome.declined,
+        }:
             self._sends = SendCounts(self._sends.run, self._sends.not_run + 1)
         else:
             self._sends = SendCounts(self._sends.run + 1, self._sends.not_run)
-        step = decide_next_step(plan.route, outcome.ending, self._sends)
+        step = decide_next_step(plan.route, attempt_result.ending, self._sends)
         if step in {NextStep.resend, NextStep.resume} and not self._may_retry(
             plan,
-            outcome,
+            attempt_result,
         ):
-            return final_step(outcome.ending, has_run=self._sends.run > 0)
+            return final_step(
+                attempt_result.ending, has_run=self._sends.run > 0
+            )
         return step
 
-    def _may_retry(self, plan: '_Plan', outcome: AttemptResult) -> bool:
+    def _may_retry(self, plan: '_Plan', attempt_result: AttemptResult) -> bool:
         if plan.deadline_s - _now_s() < MIN_ATTEMPT_S:
             return False
-        if outcome.ending is AttemptOutcome.unsent:
+        if attempt_result.ending is AttemptOutcome.unsent:
             return True
         return self._context.may_retry(plan.service)
 
-    def _deliver(self, plan: '_Plan', outcome: AttemptResult) -> None:
+    def _deliver(self, plan: '_Plan', attempt_result: AttemptResult) -> None:
         if self._has_begun:
             self._caller.end_stream()
         else:
             self._caller.answer(
-                outcome.head.status, outcome.head.headers, outcome.body
+                attempt_result.head.status,
+                attempt_result.head.headers,
+                attempt_result.body,
             )
         self._record_answer()
 
@@ -343,12 +354,16 @@
             age_ms=_in_ms(age_s),
         )
 
-    def _finish(self, step: NextStep, outcome: AttemptResult) -> None:
+    def _finish(self, step: NextStep, attempt_result: AttemptResult) -> None:
         if self._has_begun or step is NextStep.cut:
             self._cut(Code.stream_cut)
-        elif step is NextStep.pass_on and not outcome.head.implies_not_run:
+        elif (
+            step is NextStep.pass_on and not attempt_result.head.implies_not_run
+        ):
             self._caller.answer(
-                outcome.head.status, outcome.head.headers, outcome.body
+                attempt_result.head.status,
+                attempt_result.head.headers,
+                attempt_result.body,
             )
         elif step is NextStep.tell_not_run:
             self._refuse(Code.no_backend_server)
@@ -422,7 +437,7 @@
         )
 
     def _log_step(
-        self, plan: '_Plan', outcome: AttemptResult, step: NextStep
+        self, plan: '_Plan', attempt_result: AttemptResult, step: NextStep
     ) -> None:
         self._context.log.note(
             ATTEMPT_FAILED,
@@ -430,9 +445,9 @@
             route=plan.route.name,
             version=plan.table.version,
             server=self._server,
-            ending=outcome.ending.value,
-            cause=outcome.cause,
-            status=outcome.head.status if outcome.head else 0,
+            ending=attempt_result.ending.value,
+            cause=attempt_result.cause,
+            status=attempt_result.head.status if attempt_result.head else 0,
             step=step.value,
             age_ms=_in_ms(self._age_s()),
         )
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -142,7 +142,7 @@
         wait_s = watch_wait_s(self._settings.operator_bounds.contact_s)
         for kind, callback in (
             (CONFIG_KIND, self._state.apply_config),
-            (SERVERS_KIND, self._state.apply_workers),
+            (SERVERS_KIND, self._state.apply_servers),
         ):
             self._start(KindWatch(self._store, kind, wait_s, callback).run())
         self._start(self._members.register())
--- a/src/siskinpass/process/fleet/policy.py
+++ b/src/siskinpass/process/fleet/policy.py
@@ -12,7 +12,7 @@
 PROBE_AFTER = 3
 
 
-def fleet_policy(memory_tokens: int) -> BrokerPolicy:
+def fleet_policy(kv_capacity_tokens: int) -> BrokerPolicy:
     """Return the policy for one service.
 
     :param memory_tokens: KV cache capacity of each engine in tokens, 0 for a
@@ -24,5 +24,5 @@
         chooser=AffinityChooser(),
         moves=False,
         probe_after=PROBE_AFTER,
-        memory_tokens=memory_tokens,
+        kv_capacity_tokens=kv_capacity_tokens,
     )
--- a/src/siskinpass/process/fleet/state.py
+++ b/src/siskinpass/process/fleet/state.py
@@ -63,7 +63,7 @@
             if stored.name == CONFIG_NAME and not stored.is_deleted:
                 self._adopt(stored)
 
-    def apply_workers(self, update: StoreUpdate) -> None:
+    def apply_servers(self, update: StoreUpdate) -> None:
         """Apply a store update of the backend servers."""
         now_s = self._loop.time()
         if isinstance(update, StoreUnavailable):
--- a/src/siskinpass/process/fleet/tickets.py
+++ b/src/siskinpass/process/fleet/tickets.py
@@ -14,7 +14,7 @@
 # Waiting longer would make the answer late, which lowers its value; refusing
 # sooner would lose the whole value.
 WAIT_FRACTION = 0.4
-SHARE = 0.1
+GUARANTEED_SHARE = 0.1
 
 
 class Plan(Protocol):
@@ -62,7 +62,7 @@
         opened_s=attempt.now_s,
         target_s=route.target_s,
         max_wait_s=remaining_s * WAIT_FRACTION,
-        share=SHARE,
+        share=GUARANTEED_SHARE,
         pieces=hash_parts(prompt),
         pausable=False,
         avoid=attempt.avoid,
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -110,7 +110,7 @@
         raise TypeError(event)
 
     @_handle_event.register
-    def _handle_prompt_read(
+    def _handle_prefill_completed(
         self, event: PrefillCompleted, now_s: float
     ) -> None:
         grant = self._running.get(event.ticket_id)
--- a/src/siskinpass/process/placement.py
+++ b/src/siskinpass/process/placement.py
@@ -166,7 +166,7 @@
         *,
         at_random: bool,
         chooser: Chooser | None = None,
-        memory_tokens: int = 0,
+        kv_capacity_tokens: int = 0,
         probe_after: int = 1,
     ) -> None:
         """Initialize a table without servers.
@@ -184,7 +184,7 @@
         self._chooser = chooser
         self.now_s = 0.0
         self._probe_after = probe_after
-        self.cache = CacheMap(memory_tokens)
+        self.cache = CacheMap(kv_capacity_tokens)
         self._at_random = at_random
         self._servers: dict[str, Server] = {}
         self._prefixes: OrderedDict[int, str] = OrderedDict()
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -142,7 +142,7 @@
         """
         self._keep_alive = keep_alive
         self._caller.on_lost = self._lose_caller
-        self._caller.on_writable = self._set_flow
+        self._caller.on_writable = self._set_reading
         class_settings = self._call.class_settings
         self._tools.budget.earn(self._call.node, class_settings.retry_fraction)
         for number in range(ATTEMPTS_MOST):
@@ -386,9 +386,9 @@
         if self._attempt is not None:
             self._attempt.break_off(error)
 
-    def _set_flow(self, *, on: bool) -> None:
+    def _set_reading(self, *, on: bool) -> None:
         if self._attempt is not None:
-            self._attempt.set_flow(on=on)
+            self._attempt.set_reading(on=on)
 
     def _since_arrival_ms(self) -> float:
         return (self._loop.time() - self._arrived_s) * MS_PER_S
--- a/src/siskinpass/process/streams.py
+++ b/src/siskinpass/process/streams.py
@@ -167,11 +167,11 @@
                 attempt.drop_caller()
             return
         if attempt.parser is None:
-            silent_s, timeout_s = now_s - attempt.sent_s, WHOLE_ANSWER_TIMEOUT_S
+            idle_s, timeout_s = now_s - attempt.sent_s, WHOLE_ANSWER_TIMEOUT_S
         elif progress.first_reported:
-            silent_s = now_s - progress.last_s
+            idle_s = now_s - progress.last_s
             timeout_s = progress.gap_timeout_s
         else:
-            silent_s, timeout_s = now_s - attempt.sent_s, FIRST_TOKEN_TIMEOUT_S
-        if silent_s > timeout_s:
+            idle_s, timeout_s = now_s - attempt.sent_s, FIRST_TOKEN_TIMEOUT_S
+        if idle_s > timeout_s:
             attempt.break_off(BackendError(Code.stream_silent))
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -102,7 +102,7 @@
     """
 
     store: ObjectStore
-    workers: list[Worker]
+    servers: list[Worker]
     ports: dict[str, list[int]] = field(default_factory=dict)
     logs: dict[str, Path] = field(default_factory=dict)
     processes: dict[str, asyncio.subprocess.Process] = field(
@@ -112,7 +112,7 @@
     @property
     def runs(self):
         """Return the requests that the workers ran, worker by worker."""
-        return [run for worker in self.workers for run in worker.runs]
+        return [run for server in self.servers for run in server.runs]
 
     @property
     def log(self):
@@ -239,7 +239,7 @@
 @asynccontextmanager
 async def running_fleet(
     instances: int = 1,
-    workers: int = 2,
+    servers: int = 2,
 ) -> AsyncGenerator[Fleet, None]:
     """Run a store, workers and instances, and stop them afterwards.
 
@@ -249,12 +249,12 @@
         fleet = Fleet(ObjectStore(), [])
         fleet.ports['store'] = free_ports(1)
         await _listen(stack, fleet.store, fleet.ports['store'][0])
-        for number in range(workers):
-            worker = Worker(f'i-{number}')
-            fleet.workers.append(worker)
+        for number in range(servers):
+            server = Worker(f'i-{number}')
+            fleet.servers.append(server)
             port = free_ports(1)[0]
-            await _listen(stack, worker, port)
-            await fleet.store.put('servers', worker.name, worker_entry(port))
+            await _listen(stack, server, port)
+            await fleet.store.put('servers', server.name, server_entry(port))
         await fleet.store.put('config', 'main', config(3))
         stack.push_async_callback(_end, fleet)
         for number in range(1, instances + 1):
@@ -270,7 +270,7 @@
         yield fleet
 
 
-def worker_entry(port, **more):
+def server_entry(port, **more):
     """Return a worker's registration in the store."""
     return {
         'service': 'app',
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -24,7 +24,7 @@
     TicketOpened,
 )
 
-MEMORY = 600_000
+KV_CAPACITY_TOKENS = 600_000
 SERVERS = tuple(
     ServerView(f'e-{n}', '1.1.1.1:1', 'lm', slots=64) for n in range(5)
 )
@@ -38,7 +38,7 @@
 
 def broker(servers=SERVERS):
     """Return a broker with the fleet policy, which places by cost."""
-    made = Broker(fleet_policy(MEMORY))
+    made = Broker(fleet_policy(KV_CAPACITY_TOKENS))
     made.apply(ServersListed(servers), 0.0)
     return made
 
@@ -189,7 +189,7 @@
 class TestLoads:
     """Test placement under load."""
 
-    def test_long_prompts_avoid_the_partition(self):
+    def test_long_prompts_avoid_reserved_servers(self):
         """No engine gets both long prompts and tight streams."""
         made = broker()
         long_at, tight_at = set(), set()
@@ -222,14 +222,14 @@
     def test_upper_tier_bypasses_lower_tier_backlog(self):
         """An upper-tier prompt is placed at once during a burst of drafts."""
         made = broker()
-        drafts = [TicketOpened(prompt(n, n)) for n in range(60)]
-        first = grants(made.apply_all(drafts, 0.0))
+        lower_tier = [TicketOpened(prompt(n, n)) for n in range(60)]
+        first = grants(made.apply_all(lower_tier, 0.0))
         assert 0 < len(first) < 60
         upper = prompt(99, 99, tier=1, target_s=0.8, opened_s=0.01)
         placed = grants(made.apply(TicketOpened(upper), 0.01))
         assert list(placed) == ['t-99']
 
-    def test_partition_grows_to_engines_with_long_prompts(self):
+    def test_reservation_grows_to_engines_with_long_prompts(self):
         """An engine that prefilled long prompts takes its share of a burst."""
         made = broker()
         for number in range(40):
@@ -264,8 +264,10 @@
     def test_lower_tier_load_counts_for_upper_tier(self):
         """Unread prompts of a lower tier count for an upper tier as well."""
         made = broker()
-        drafts = ServerLoad(1, 0, (0, 0, 20_000))
-        loads = {view.name: drafts for view in SERVERS if view.name != 'e-3'}
+        lower_tier = ServerLoad(1, 0, (0, 0, 20_000))
+        loads = {
+            view.name: lower_tier for view in SERVERS if view.name != 'e-3'
+        }
         made.apply(PeerLoadsReported(loads), 0.0)
         placed = [
             grants(made.apply(TicketOpened(prompt(n, n, tier=1)), 0.0))
@@ -276,10 +278,10 @@
     def test_upper_tier_backlog_is_bounded(self):
         """The backlog limit applies to upper tiers as well."""
         made = broker()
-        reviews = [
+        upper_tier = [
             TicketOpened(prompt(n, n, tier=1, target_s=0.8)) for n in range(60)
         ]
-        assert len(grants(made.apply_all(reviews, 0.0))) < 60
+        assert len(grants(made.apply_all(upper_tier, 0.0))) < 60
         policy = AffinityPolicy()
         for server in made.table.servers:
             backlog_s = server.prefill.backlog_s(1, 0.0)
@@ -299,8 +301,8 @@
     def test_backlog_of_an_engine_is_bounded(self):
         """Prompts beyond the backlog limit wait in the broker, in order."""
         made = broker()
-        drafts = [TicketOpened(prompt(n, n)) for n in range(200)]
-        made.apply_all(drafts, 0.0)
+        lower_tier = [TicketOpened(prompt(n, n)) for n in range(200)]
+        made.apply_all(lower_tier, 0.0)
         policy = AffinityPolicy()
         for server in made.table.servers:
             backlog_s = server.prefill.backlog_s(2, 0.0)
@@ -319,7 +321,7 @@
 
     def test_part_counts_only_after_preceding_parts(self):
         """A part counts as cached only if all parts before it are cached."""
-        cache = CacheMap(MEMORY)
+        cache = CacheMap(KV_CAPACITY_TOKENS)
         first, second = PromptPiece(1, 100), PromptPiece(2, 50)
         cache.record('e', (second,))
         assert cache.cached_tokens('e', (first, second)) == 0
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -11,7 +11,7 @@
 from siskinpass.request.ticket import PromptPiece, PromptPlaced
 
 PART = PromptPiece(7, 1000)
-WORKER = {'service': 'lm', 'address': '1.1.1.1:1', 'state': 'ready'}
+SERVER = {'service': 'lm', 'address': '1.1.1.1:1', 'state': 'ready'}
 CONFIG = {
     'version': 1,
     'routes': [],
@@ -44,7 +44,7 @@
         return fleet_policy(kv_capacity_tokens)
 
 
-class TestEngineMemory:
+class TestCacheSize:
     """Test that cached parts are tracked for any order of store updates."""
 
     def test_servers_before_the_configuration(self):
@@ -56,7 +56,7 @@
 
         async def scenario():
             instance = Instance()
-            instance.state.apply_workers(listed('e-1', WORKER))
+            instance.state.apply_servers(listed('e-1', SERVER))
             instance.state.apply_config(listed(CONFIG_NAME, CONFIG))
             instance.assigner.record_placement(PromptPlaced('e-1', (PART,)))
             return instance.assigner.broker('lm').table.cache
--- a/tests/test_breach.py
+++ b/tests/test_breach.py
@@ -112,7 +112,7 @@
 
     def test_old_seconds_are_dropped(self):
         """The number of stored seconds is bounded."""
-        book = CountBook()
+        counts = CountBook()
         for second in range(500):
-            book.note(Outcome('w/c', met=True), float(second))
-        assert len(list(book.after(0))) <= 41
+            counts.note(Outcome('w/c', met=True), float(second))
+        assert len(list(counts.after(0))) <= 41
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -249,7 +249,7 @@
         made.apply(ServersListed(views(1, leaving=True)), 0.0)
         assert not made.apply(TicketOpened(ticket('c')), 0.0)
 
-    def test_failed_server_is_shunned_then_probed(self):
+    def test_failed_server_is_ejected_then_probed(self):
         """A failed server gets one request once its backoff has passed."""
         made = broker(servers=1)
         made.apply(TicketOpened(ticket('a')), 0.0)
@@ -285,8 +285,8 @@
             servers=2, limit=LimitPolicy(start=4, minimum=2, maximum=4)
         )
         fast = ticket('fast', token_s=0.06)
-        patient = ticket('patient', 5, token_s=0.9)
-        for one in (fast, patient):
+        tolerant = ticket('patient', 5, token_s=0.9)
+        for one in (fast, tolerant):
             made.apply(GrantReported(one, 'server-0'), 0.0)
         for _ in range(8):
             made.apply(TokensObserved('server-0', 0.2), 1.0)
@@ -389,9 +389,9 @@
         share=st.sampled_from((0.0, 0.05, 0.3)),
         pausable=st.booleans(),
         resumed=st.booleans(),
-        patience=st.sampled_from((0.5, 5.0, 60.0)),
+        max_wait_s=st.sampled_from((0.5, 5.0, 60.0)),
     )
-    def open(self, tier, share, pausable, resumed, patience):
+    def open(self, tier, share, pausable, resumed, max_wait_s):
         """Open a ticket with arbitrary properties."""
         self.number += 1
         made = ticket(
@@ -401,7 +401,7 @@
             share=share,
             pausable=pausable,
             resumed=resumed,
-            max_wait_s=patience,
+            max_wait_s=max_wait_s,
         )
         self.waiting[made.ticket_id] = made
         self.apply(TicketOpened(made))
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -17,7 +17,7 @@
 
 async def cut_by_a_crash(fleet):
     """Break a stream off that may not be resumed."""
-    for worker in fleet.workers:
+    for worker in fleet.servers:
         worker.faults.cuts = 1
     answer = await fleet.ask('/plain-stream/x', call=ASKED_FOR)
     assert not answer.is_whole
@@ -25,7 +25,7 @@
 
 async def refused_under_load(fleet):
     """Fill every slot, so that one more request waits in vain."""
-    for worker in fleet.workers:
+    for worker in fleet.servers:
         worker.faults.silent = OTHERS
     asked = [
         asyncio.ensure_future(fleet.ask('/once/x', call=f'other-{number}'))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,8 +12,8 @@
     exchange,
     route,
     running_fleet,
+    server_entry,
     wait_until,
-    worker_entry,
 )
 
 WHOLE = b''.join(f'id: {n}\ndata: x{n}\n\n'.encode() for n in range(1, 9))
@@ -135,18 +135,18 @@
 
         async def scenario(fleet):
             # Equal servers are chosen in the order of their names.
-            setattr(fleet.workers[0].faults, fault, 1)
+            setattr(fleet.servers[0].faults, fault, 1)
             answer = await fleet.ask(path)
             assert answer.status == status
             assert len(fleet.runs) == runs
 
         run_scenario(scenario)
 
-    def test_resumes_cut_stream_on_another_worker(self):
+    def test_resumes_cut_stream_on_another_server(self):
         """A resumable stream reaches the caller complete, without repeats."""
 
         async def scenario(fleet):
-            fleet.workers[0].faults.cuts = 1
+            fleet.servers[0].faults.cuts = 1
             answer = await fleet.ask('/stream/stream')
             assert (answer.body, answer.is_whole) == (WHOLE, True)
             assert [run.headers.get('last-event-id') for run in fleet.runs] == [
@@ -160,7 +160,7 @@
         """Complete events are forwarded, but no end of the stream."""
 
         async def scenario(fleet):
-            fleet.workers[0].faults.cuts = 1
+            fleet.servers[0].faults.cuts = 1
             answer = await fleet.ask('/plain-stream/stream')
             assert WHOLE.startswith(answer.body.rstrip())
             assert not answer.is_whole
@@ -172,22 +172,22 @@
         """The router writes no error answer into a stream that has started."""
 
         async def scenario(fleet):
-            worker = fleet.workers[0]
-            worker.gap_s = 0.2
-            worker.faults.cuts = 1
+            server = fleet.servers[0]
+            server.gap_s = 0.2
+            server.faults.cuts = 1
             asked = asyncio.create_task(
                 fleet.ask('/stream/stream', more='X-Length-Hint: 8\r\n'),
             )
             await wait_until(lambda: fleet.runs, 'the run')
-            await fleet.store.remove('servers', worker.name)
+            await fleet.store.remove('servers', server.name)
             answer = await asked
             assert WHOLE.startswith(answer.body.rstrip())
             assert (answer.status, answer.is_whole) == (200, False)
             assert answer.raw.count(b'HTTP/1.1') == 1
 
-        run_scenario(scenario, workers=1)
+        run_scenario(scenario, servers=1)
 
-    def test_does_not_forward_503_of_a_worker_that_ran(self):
+    def test_does_not_forward_503_of_a_server_that_ran(self):
         """A 503 without the worker's not-run header is not forwarded.
 
         Callers would take the status as a promise that the request did not
@@ -195,8 +195,8 @@
         """
 
         async def scenario(fleet):
-            for worker in fleet.workers:
-                worker.faults.bare_refusals = 1
+            for server in fleet.servers:
+                server.faults.bare_refusals = 1
             answer = await fleet.ask('/once/x')
             assert answer.status == MEANINGS[Code.outcome_unknown].status
             assert len(fleet.runs) == 1
@@ -250,7 +250,7 @@
 
         run_scenario(scenario)
 
-    def test_leaving_worker_gets_nothing_new(self):
+    def test_leaving_server_gets_nothing_new(self):
         """A draining worker gets no new requests.
 
         An unreadable entry beside it has no effect.
@@ -260,7 +260,7 @@
             await fleet.store.put(
                 'servers',
                 'i-0',
-                worker_entry(1, state='draining'),
+                server_entry(1, state='draining'),
             )
             await fleet.store.put('servers', 'i-9', {'service': 5})
             await wait_until(
@@ -293,8 +293,8 @@
         """
 
         async def scenario(fleet):
-            for worker in fleet.workers:
-                worker.gap_s = 0.2
+            for server in fleet.servers:
+                server.gap_s = 0.2
             asked = asyncio.create_task(fleet.ask('/stream/stream'))
             await wait_until(lambda: fleet.runs, 'the run')
             fleet.processes['front-1'].send_signal(signal.SIGTERM)
@@ -312,8 +312,8 @@
         """The connection to the worker is closed when the caller leaves."""
 
         async def scenario(fleet):
-            for worker in fleet.workers:
-                worker.faults.silent = 1
+            for server in fleet.servers:
+                server.faults.silent = 1
             asked = asyncio.create_task(fleet.ask('/once/x'))
             await wait_until(lambda: fleet.runs, 'the run')
             asked.cancel()
@@ -347,10 +347,10 @@
 
 
 async def _gets_none(fleet, number):
-    before = len(fleet.workers[number].runs)
+    before = len(fleet.servers[number].runs)
     for _ in range(6):
         await fleet.ask('/once/x')
-    return len(fleet.workers[number].runs) == before
+    return len(fleet.servers[number].runs) == before
 
 
 async def _is_running(fleet, name):
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -82,7 +82,7 @@
     return learned
 
 
-class TestKeptParts:
+class TestKeptPartsLoader:
     """Test the calls to the engines."""
 
     def test_bounds_the_number_of_queried_engines(self):
--- a/tests/test_resend.py
+++ b/tests/test_resend.py
@@ -136,8 +136,8 @@
             step = decide_next_step(kind, ending, sends)
             if step not in {NextStep.resend, NextStep.resume}:
                 break
-        most = kind.max_attempts if kind.may_repeat else 1
-        assert sends.run <= most
+        max_runs = kind.max_attempts if kind.may_repeat else 1
+        assert sends.run <= max_runs
         assert sends.not_run <= MAX_NOT_RUN_SENDS
         if step is NextStep.tell_not_run:
             assert sends.run == 0
--- a/tests/test_small_parts.py
+++ b/tests/test_small_parts.py
@@ -64,10 +64,10 @@
             assert POLICY.minimum <= limit.slots <= POLICY.maximum
 
 
-class TestSwingReserve:
+class TestPeakDemandReserve:
     """Test the slots reserved for upper tiers."""
 
-    def test_follows_recent_swing(self):
+    def test_follows_recent_peak(self):
         """The recent peak of demand stays reserved until its window ends."""
         reserve = PeakDemandReserve()
         reserve.observe(10, 0.0)
@@ -143,20 +143,20 @@
         assert spent <= BURST + earned * fraction
 
 
-class TestVersionBook:
+class TestCurrentVersion:
     """Test that the version number never decreases."""
 
     @given(st.lists(st.integers(1, 20)))
     def test_only_rises(self, numbers):
         """An offered version is adopted only if its number is higher."""
-        book = CurrentVersion()
+        current = CurrentVersion()
         tree = Tree(Root('x'), {})
         highest = 0
         for number in numbers:
             offered = TreeVersion(number, tree, KeyTable(tree), '')
-            assert book.adopt_if_newer(offered) == (number > highest)
+            assert current.adopt_if_newer(offered) == (number > highest)
             highest = max(highest, number)
-            assert book.number == highest
+            assert current.number == highest
 
 
 class TestKeys:
