--- a/src/siskinpass/connection/fetch.py
+++ b/src/siskinpass/connection/fetch.py
@@ -71,7 +71,9 @@
     try:
         return await asyncio.wait_for(collector.finished, timeout_s)
     except TimeoutError as error:
-        raise BackendError(Code.stream_silent, 'silent') from error
+        raise BackendError(
+            Code.stream_silent, 'no complete answer in time'
+        ) from error
     finally:
         if not _is_answered(collector):
             connection.cancel()
--- a/src/siskinpass/platform/engines.py
+++ b/src/siskinpass/platform/engines.py
@@ -1,4 +1,4 @@
-"""Ask a model engine which prompt parts are in its KV cache."""
+"""Query for the prompt parts in an engine's KV cache, and its answer."""
 
 from siskinpass.codes import Code
 from siskinpass.exceptions import FormatError
--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -15,11 +15,11 @@
   stream (``Ticket.is_tight``) has a strict limit on the pause between tokens,
   and the prefill of another prompt makes its pauses longer.
 
-Some of the servers form a partition for tight streams, whose size follows the
-number of these streams. Long prompts are placed outside of it if possible.
+Some of the servers are reserved for tight streams; their number follows the
+number of these streams. Long prompts are placed on other servers if possible.
 
-A prompt part that is cached on another server costs more than its prefill
-takes, because each engine has memory for only some of the shared parts.
+Tokens that another server has cached count more than once, because each engine
+has memory for only some of the shared parts.
 """
 
 import math
@@ -32,6 +32,7 @@
 from siskinpass.process.rendezvous import holder, rank
 from siskinpass.request.ticket import Ticket
 
+# With fewer servers none are reserved for tight streams.
 MIN_SERVERS_FOR_RESERVING = 3
 # A plain server (one without a model engine) that fails all requests costs as
 # much as one with this many requests for each of its slots.
@@ -42,48 +43,50 @@
 class AffinityPolicy:
     """Weights and limits of the choice.
 
-    :param running_request_tokens: cost of one running request. According to
-        the data sheets it makes a decoding step 0.165 ms longer. Over 40 steps
-        that is the time of the prefill of about 400 tokens.
+    :param running_request_tokens: cost of one running request. Engines are
+        specified to need 0.165 ms more for a decoding step with each running
+        request. Over 40 steps that is the prefill time of about 400 tokens.
     :param lower_tier_weight: weight of unread tokens of lower tiers. They count
         because an engine finishes the prefill chunk that it has begun, and the
         pauses of its streams grow.
     :param duplicate_prefill_factor: weight of tokens that another server has
-        cached. With 3, half again as many requests were diverted from it;
-        see docs/design/platform.md.
+        cached. A lower factor sends more prompts to an engine that has to
+        prefill again what another engine has cached: with 3 there were 1.5
+        times as many of them; see docs/design/platform.md.
     :param non_home_tokens: additional cost of a server that is not the home of
         the prompt's last shared part. It decides between otherwise equal
         servers, so that the parts spread over the memory of all engines and
         two instances make the same choice.
     :param tight_non_home_factor: limits ``non_home_tokens`` for tight streams
         to this multiple of the tokens of their shared parts. These parts are
-        short, and an even pace in the partition is worth more than avoiding
-        another prefill of them.
-    :param partition_penalty: cost of a tight stream outside the partition or a
-        long prompt inside it: ten seconds of prefill, so that this happens only
-        after failures.
-    :param streams_per_partition_server: tight streams for each engine of the
-        partition. A decoding step then takes 1.5 times as long as with one
-        stream; with more streams the prefill of their own prompts makes their
-        pauses longer.
-    :param min_partition_fraction: smallest fraction of the engines that the
-        partition takes.
-    :param max_partition_fraction: largest fraction of the engines that the
-        partition may take.
-    :param partition_decay_s: time in which the stream count that sizes an
-        unused partition falls to about a third. It is longer than the time
-        between the bursts in the data sheets, so that the cached parts of its
-        engines need not move twice.
+        short, and an even prefill pace on the reserved servers is worth more
+        than avoiding another prefill of them.
+    :param reservation_penalty: cost of a tight stream on a server that is not
+        reserved, or of a long prompt on one that is: ten seconds of prefill, so
+        that this happens only after failures.
+    :param streams_per_reserved_server: tight streams for each reserved server.
+        A decoding step then takes 1.5 times as long as with one stream; with
+        more streams the prefill of their own prompts makes their pauses longer.
+    :param min_reserved_fraction: smallest fraction of the servers that are
+        reserved.
+    :param max_reserved_fraction: largest fraction of the servers that may be
+        reserved.
+    :param reserved_decay_s: time in which the stream count that determines the
+        number of reserved servers falls to about a third once the streams have
+        ended. Bursts come less than 15 s apart; with a shorter time the cached
+        parts of the reserved servers would move after each burst and back at
+        the next.
     :param failure_tokens: cost of a server that fails all requests: two seconds
         of prefill.
-    :param long_prompt_tokens: prompts above this length do not belong in the
-        partition. An engine prefills 4,096 tokens between two decoding steps.
+    :param long_prompt_tokens: prompts above this length do not belong on
+        reserved servers. An engine prefills 4,096 tokens between two decoding
+        steps.
     :param backlog_s: estimated prefill backlog up to which an engine gets
         another prompt. Requests that wait in the broker instead keep their
         order by tier and target.
     :param max_tight_wait_s: longest time that a tight stream waits until the
         paced prefill of the prompts before it is done: a fifth of the shortest
-        latency target in the data sheets.
+        latency target, 0.5 s.
     :param max_unread_tokens: unread tokens of a tier and those above it up to
         which an engine gets another prompt of that tier: one second of prefill.
         This bounds the backlog of an engine that is slower than estimated.
@@ -172,7 +175,7 @@
 
 
 class _ReservedServers:
-    """Size the partition by the number of running tight streams."""
+    """Servers reserved for tight streams, as many as these streams need."""
 
     def __init__(self, policy: AffinityPolicy) -> None:
         self._policy = policy
@@ -186,10 +189,10 @@
         servers: Sequence[Server],
         now_s: float,
     ) -> frozenset[str]:
-        """Return the names of the servers in the partition.
+        """Return the names of the servers that are reserved now.
 
         :param servers: those with a free slot.
-        :returns: empty if there are fewer than ``MIN_PARTITION_SERVERS``.
+        :returns: empty if there are fewer than ``MIN_SERVERS_FOR_RESERVING``.
         """
         if len(servers) < MIN_SERVERS_FOR_RESERVING:
             return frozenset()
@@ -209,7 +212,7 @@
         return frozenset(ordered[: max(1, min(wanted_size, max_size))])
 
     def _rank(self, names: Iterable[str]) -> tuple[str, ...]:
-        """Return the order in which servers join the partition.
+        """Return the order in which servers are reserved.
 
         It is the same on all instances. The result is cached until the set of
         names changes.
@@ -234,7 +237,7 @@
     ) -> None:
         """Look up the cached tokens and the home of the prompt.
 
-        :param partition: names of the servers for tight streams.
+        :param reserved: names of the servers reserved for tight streams.
         :param servers: those that the ticket may be placed on.
         """
         self._policy = policy
@@ -272,8 +275,8 @@
     def _find_home(self, servers: Sequence[Server]) -> str:
         """Return the home of the prompt's last shared part.
 
-        Tight streams have their home in the partition and other prompts have
-        it outside, as long as there are such servers.
+        Tight streams have their home on a reserved server and other prompts on
+        one that is not reserved, as long as there are such servers.
         """
         names = {server.view.name for server in servers}
         if self._reserved:
@@ -301,8 +304,8 @@
         if not self._reserved:
             return 0.0
         if self._ticket.is_tight:
-            # Only servers of the partition have a paced backlog that differs
-            # from their load.
+            # Only reserved servers have a paced backlog that differs from
+            # their load.
             pace = (
                 server.prefill.paced_backlog_s(self._now_s)
                 * PREFILL_TOKENS_PER_S
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -36,7 +36,7 @@
 from siskinpass.request.ticket_queue import WaitingTickets
 
 MS_PER_S = 1000
-MIN_RETRY_MS = 200
+MIN_RETRY_MS = 200  # smallest delay that a refusal asks for
 # Tickets tried per tier in one pass, so that a ticket that no server can take
 # now does not block the tickets behind it.
 MAX_CANDIDATES = 64
@@ -59,7 +59,7 @@
     :param chooser: chooses among the servers with a free slot, in place of
         the built-in placement.
     :param moves: whether streams are moved off servers that became slow.
-    :param memory_tokens: capacity of each engine's KV cache in tokens.
+    :param kv_capacity_tokens: KV cache capacity of each engine in tokens.
     :param probe_after: consecutive failures after which a server gets only
         one request at a time.
     """
@@ -107,7 +107,7 @@
 
     @property
     def table(self) -> ServerTable:
-        """Return the state of the group's backend servers."""
+        """Return the table of the group's backend servers."""
         return self._table
 
     def apply(self, event: Event, now_s: float) -> list[Command]:
--- a/src/siskinpass/process/cache_map.py
+++ b/src/siskinpass/process/cache_map.py
@@ -11,8 +11,8 @@
 
 from siskinpass.request.ticket import PromptPiece
 
-# Fraction of an engine's memory that holds cached parts; running requests use
-# the rest.
+# Fraction of an engine's KV cache that holds parts of earlier prompts; running
+# requests use the rest.
 CACHE_FRACTION = 0.7
 
 
@@ -22,14 +22,14 @@
     def __init__(self, kv_capacity_tokens: int) -> None:
         """Initialize an empty cache.
 
-        :param memory_tokens: KV cache capacity of the engine in tokens.
+        :param kv_capacity_tokens: KV cache capacity of the engine in tokens.
         """
         self._parts: OrderedDict[int, int] = OrderedDict()
         self._tokens = 0
         self.resize(kv_capacity_tokens)
 
     def resize(self, kv_capacity_tokens: int) -> None:
-        """Set the engine's memory size and evict parts that do not fit."""
+        """Set the KV cache capacity and evict parts that do not fit."""
         self._max_cached_tokens = kv_capacity_tokens * CACHE_FRACTION
         self._evict_oldest()
 
@@ -64,7 +64,7 @@
     def __init__(self, kv_capacity_tokens: int) -> None:
         """Initialize a map without servers.
 
-        :param memory_tokens: KV cache capacity of each engine in tokens.
+        :param kv_capacity_tokens: KV cache capacity of each engine in tokens.
         """
         self._kv_capacity_tokens = kv_capacity_tokens
         self._caches: dict[str, ServerCache] = {}
@@ -86,7 +86,7 @@
         cache.record(pieces)
 
     def resize(self, kv_capacity_tokens: int) -> None:
-        """Set the memory size of all engines."""
+        """Set the KV cache capacity of all engines."""
         if kv_capacity_tokens != self._kv_capacity_tokens:
             self._kv_capacity_tokens = kv_capacity_tokens
             for cache in self._caches.values():
--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -88,13 +88,13 @@
         return self._parser is not None and self._parser.count > 0
 
     def start(self, connection: BackendConnection, request: bytes) -> None:
-        """Send the request and start to measure the server's silence."""
+        """Send the request and start the timeouts of the attempt."""
         self._connection = connection
         self._last_received_s = self._loop.time()
         connection.send(request, self)
 
     def cancel(self) -> None:
-        """Close the connection, on which the server stops its work."""
+        """Close the connection, so that the server stops its work."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.cancel()
@@ -102,9 +102,10 @@
     async def wait(self, timeouts: AttemptTimeouts | None) -> AttemptResult:
         """Wait for the end of the attempt.
 
-        An attempt that exceeds a limit is aborted and counts as failed.
+        An attempt that times out is aborted and counts as failed.
 
-        :param limits: longest silence of the server, ``None`` for no limit.
+        :param timeouts: longest times without data from the server, ``None``
+            for no timeouts.
         """
         while timeouts and not self.finished.done():
             allowed_s = (
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -104,7 +104,7 @@
             raise
 
     def complete_prefill(self, ticket: Ticket) -> None:
-        """Remove the prompt from the prefill work of the ticket's server."""
+        """Record that the server has prefilled the ticket's prompt."""
         self._apply(ticket.pool, PrefillCompleted(ticket.ticket_id))
 
     def release(
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -51,17 +51,17 @@
 MS_PER_S = 1000
 # Lower bound and jitter of Retry-After. Callers wait at most a third of their
 # remaining time; these values are well below that for the shortest time limit
-# that the platform's specification sheets state.
+# of a caller, 1.5 s.
 MIN_RETRY_AFTER_S = 0.1
 RETRY_AFTER_JITTER_S = 0.3
 # No attempt is made with less time left: no server answers within it.
 MIN_ATTEMPT_S = 0.02
-DEFAULT_TIMEOUT_S = 60.0
+DEFAULT_TIMEOUT_S = 60.0  # for callers that state no time limit
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardContext:
-    """Parts of the process that requests use.
+    """Dependencies of the request handlers.
 
     :param table: returns the routing table in force, ``None`` before the first.
     :param may_retry: spends one retry of a service's budget and returns whether
@@ -103,7 +103,7 @@
 
 
 class RequestHandler:
-    """Task that answers one request, over one or more attempts."""
+    """Handler that answers one request, over one or more attempts."""
 
     def __init__(
         self,
@@ -149,7 +149,7 @@
     def begin(self, head: AnswerHead) -> None:
         """Send the head of a stream; only the first call does.
 
-        Each attempt's first event marks its prompt as read.
+        The first event of each attempt shows that its prompt is prefilled.
         """
         if self._ticket is not None:
             self._context.assigner.complete_prefill(self._ticket)
--- a/src/siskinpass/process/fleet/policy.py
+++ b/src/siskinpass/process/fleet/policy.py
@@ -7,16 +7,15 @@
 # Effectively no slot limit: the chooser limits each server's load, based on the
 # load of all instances.
 UNBOUNDED_SLOTS = 10_000
-# The platform's specification sheets count one lost answer in twenty as normal;
-# three failures in a row are not.
+# One lost answer in twenty is normal; three failures in a row are not.
 PROBE_AFTER = 3
 
 
 def fleet_policy(kv_capacity_tokens: int) -> BrokerPolicy:
     """Return the policy for one service.
 
-    :param memory_tokens: KV cache capacity of each engine in tokens, 0 for a
-        service without engines.
+    :param kv_capacity_tokens: KV cache capacity of each engine in tokens, 0 for
+        a service without engines.
     """
     return BrokerPolicy(
         LimitPolicy(UNBOUNDED_SLOTS, UNBOUNDED_SLOTS, UNBOUNDED_SLOTS),
--- a/src/siskinpass/process/fleet/store_client.py
+++ b/src/siskinpass/process/fleet/store_client.py
@@ -20,7 +20,7 @@
 )
 from siskinpass.platform import objects
 
-# Twenty times the response time that the platform states.
+# Twenty times the response time that the platform states, 50 ms.
 CALL_TIMEOUT_S = 1.0
 # A watch is aborted if it has not answered this long after its requested wait.
 WATCH_MARGIN_S = 0.5
--- a/src/siskinpass/process/fleet/tickets.py
+++ b/src/siskinpass/process/fleet/tickets.py
@@ -14,7 +14,7 @@
 # Waiting longer would make the answer late, which lowers its value; refusing
 # sooner would lose the whole value.
 WAIT_FRACTION = 0.4
-GUARANTEED_SHARE = 0.1
+GUARANTEED_SHARE = 0.1  # of freed slots, for each tier
 
 
 class Plan(Protocol):
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -118,8 +118,8 @@
             return
         server = self._table.find(grant.server)
         if server is not None:
-            read = unread_by_tier(grant.ticket, grant.unread)
-            server.add(-ServerLoad(unread=read))
+            prefilled = unread_by_tier(grant.ticket, grant.unread)
+            server.add(-ServerLoad(unread=prefilled))
             server.clear_failures(now_s)
         grant.unread = 0
 
--- a/src/siskinpass/process/limits.py
+++ b/src/siskinpass/process/limits.py
@@ -23,14 +23,14 @@
     token_s: float = 0.04
 
 
-SMOOTHING = 0.35
+SMOOTHING = 0.35  # weight of the latest observation in the moving averages
 DECREASE_FACTOR = 0.85
-DECREASE_INTERVAL_S = 0.5
-TOLERANCE = 1.15
-FAST_GROWTH_BELOW = 0.7
+DECREASE_INTERVAL_S = 0.5  # minimum time between two decreases
+TOLERANCE = 1.15  # multiple of the target above which the limit decreases
+FAST_GROWTH_BELOW = 0.7  # multiple of the target
 FAST_GROWTH = 0.25  # slots for each observed token
-SLOW_GROWTH = 0.15
-BUSY_FRACTION = 0.75
+SLOW_GROWTH = 0.15  # the same, divided by the current limit
+BUSY_FRACTION = 0.75  # of the slots, in use before the limit may grow
 STALE_AFTER_S = 3.0
 
 
--- a/src/siskinpass/process/orders.py
+++ b/src/siskinpass/process/orders.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 MAX_LOADING = 1
-REPEAT_S = 5.0
+REPEAT_S = 5.0  # time after which an order without effect is sent again
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/siskinpass/process/placement.py
+++ b/src/siskinpass/process/placement.py
@@ -22,14 +22,16 @@
     Ticket,
 )
 
-SLOW_RATIO = 2.0
-SLOW_FRACTION = 0.34
+SLOW_RATIO = 2.0  # multiple of the median token time
+SLOW_FRACTION = 0.34  # of the servers, that may be marked slow
 SLOW_SLOTS = 1
-EJECTION_S = 0.25
+EJECTION_S = 0.25  # after a first failure, doubled by each further one
 MAX_COUNTED_FAILURES = 5
 MAX_PREFIXES = 4096
+# A server that has the prompt's prefix cached is treated as if it ran this many
+# requests fewer.
 AFFINITY_SLOTS = 2
-PENALTY_FACTOR = 4.0
+PENALTY_FACTOR = 4.0  # for slow servers and the one that has just failed
 NO_LOAD = ServerLoad()
 FAILURE_RATE_SMOOTHING = 0.1  # averages about the last ten outcomes
 # Equals the default of the operator's contact-ms, the time without faults after
@@ -176,7 +178,7 @@
             load and speed.
         :param chooser: chooses among the servers with a free slot; replaces
             the cost by slots and token time.
-        :param memory_tokens: KV cache capacity of each engine in tokens.
+        :param kv_capacity_tokens: KV cache capacity of each engine in tokens.
         :param probe_after: failures in a row after which a server gets one
             request at a time.
         """
--- a/src/siskinpass/process/policies.py
+++ b/src/siskinpass/process/policies.py
@@ -6,7 +6,7 @@
 from siskinpass.version.schema import Pool
 
 MS_PER_S = 1000
-UNLIMITED = 100_000
+UNLIMITED = 100_000  # slots, in effect no limit
 
 
 def broker_policy(
--- a/src/siskinpass/process/preemption.py
+++ b/src/siskinpass/process/preemption.py
@@ -9,7 +9,7 @@
 from siskinpass.process.placement import Server, ServerTable
 from siskinpass.request.ticket import ServerLoad, Ticket
 
-MAX_CONCURRENT_PAUSES = 8
+MAX_CONCURRENT_PAUSES = 8  # streams of the group that are ending
 MAX_TIERS = 10  # lower tiers share the last element of ``ServerLoad.unread``
 
 
--- a/src/siskinpass/process/prefill.py
+++ b/src/siskinpass/process/prefill.py
@@ -4,11 +4,11 @@
 for the prompts of its own tier and of those above it.
 """
 
-# Prefill rate of an engine while it also runs streams. The data sheets state
-# 56,000 and 62,400 without any streams.
+# Prefill rate of an engine while it also runs streams. Engines are specified at
+# 56,000 and 62,400 prompt tokens per second without streams.
 PREFILL_TOKENS_PER_S = 50_000
-# Rate at which prompts are prefilled one at a time even while an engine is 2.5
-# times slower, as the engines in the data sheets are for 15% of the time.
+# Rate at which prompts are prefilled one at a time, even while an engine is 2.5
+# times slower. Engines run that slowly for 15% of the time.
 PACED_PREFILL_TOKENS_PER_S = 20_000
 
 
--- a/src/siskinpass/process/reserve.py
+++ b/src/siskinpass/process/reserve.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-WINDOW_S = 20.0
+WINDOW_S = 20.0  # time for which a peak of the demand counts
 BUCKET_S = 0.5
 MAX_FRACTION = 0.5
 
--- a/src/siskinpass/process/streams.py
+++ b/src/siskinpass/process/streams.py
@@ -1,4 +1,4 @@
-"""Measure the token times of open streams and abort those that went silent."""
+"""Measure the token times of open streams and abort those that time out."""
 
 import asyncio
 from typing import Protocol
@@ -14,9 +14,9 @@
 # Used until a token time is known. With 1 s, healthy streams that took a second
 # per token were cut and resumed.
 DEFAULT_GAP_TIMEOUT_S = 5.0
-GAP_TIMEOUT_TOKENS = 20
+GAP_TIMEOUT_TOKENS = 20  # multiple of the stream's latest token time
 FIRST_TOKEN_TIMEOUT_S = 8.0
-WHOLE_ANSWER_TIMEOUT_S = 15.0
+WHOLE_ANSWER_TIMEOUT_S = 15.0  # for answers that are not streamed
 CALLER_STALL_TIMEOUT_S = 30.0
 
 
@@ -54,7 +54,7 @@
 
     @property
     def gap_timeout_s(self) -> float:
-        """Return the longest gap between tokens of a stream, in seconds."""
+        """Return the time without a token after which a stream fails."""
         if self.token_s <= 0:
             return DEFAULT_GAP_TIMEOUT_S
         return max(MIN_GAP_TIMEOUT_S, GAP_TIMEOUT_TOKENS * self.token_s)
--- a/src/siskinpass/request/call.py
+++ b/src/siskinpass/request/call.py
@@ -28,7 +28,7 @@
 IDEMPOTENCY_HEADER = 'idempotency-key'
 BEARER = 'Bearer '
 MAX_IDEMPOTENCY_KEY_LENGTH = 255
-PREFIX_CHARS = 256
+PREFIX_CHARS = 256  # length of the start of a prompt that is hashed
 DIGEST_BYTES = 16
 ENGINE = 'engine'
 
--- a/src/siskinpass/request/claim.py
+++ b/src/siskinpass/request/claim.py
@@ -12,7 +12,7 @@
 
 from siskinpass.codes import Code
 
-MAX_STORED_BODY_BYTES = 65_536
+MAX_STORED_BODY_BYTES = 65_536  # larger responses are not stored
 
 
 class ClaimState(enum.Enum):
--- a/src/siskinpass/request/resend.py
+++ b/src/siskinpass/request/resend.py
@@ -1,8 +1,8 @@
 """Decide how to continue after an attempt on a backend server has ended.
 
 Pure logic without I/O. It upholds two guarantees under any load and fault:
-work that must not be repeated runs at most once, and a caller is only told
-"not run" if that is certain.
+work that must not be repeated runs at most once, and a caller gets the answer
+"not run" only if that is certain.
 """
 
 import enum
--- a/src/siskinpass/request/retry.py
+++ b/src/siskinpass/request/retry.py
@@ -6,7 +6,7 @@
 
 from collections import OrderedDict
 
-BURST = 5.0
+BURST = 5.0  # capacity of a bucket, in retries
 MAX_NODES = 20_000
 
 
--- a/src/siskinpass/request/stream.py
+++ b/src/siskinpass/request/stream.py
@@ -1,4 +1,4 @@
-"""Incremental parser of token streams, so that they are checked and resumable.
+"""Incremental parser that checks token streams and makes them resumable.
 
 Pure logic without I/O. Only complete events are passed on and partial ones are
 buffered, so that a stream that breaks off can be continued from another
@@ -10,6 +10,7 @@
 
 EVENT_END = b'\n\n'
 DONE_EVENT = b'data: [DONE]\n\n'
+# Far above the size of any event; limits the memory used per stream.
 MAX_BUFFERED_BYTES = 262_144
 
 
--- a/src/siskinpass/request/ticket.py
+++ b/src/siskinpass/request/ticket.py
@@ -31,8 +31,10 @@
 
     :param ticket_id: unique over all instances and their restarts.
     :param entry: instance that holds the caller's connection.
-    :param pool: name of the pool whose backend servers can serve the request.
-    :param node: path of the request class in the settings tree.
+    :param pool: name of the pool or service whose backend servers can serve
+        the request.
+    :param node: request class: its path in the settings tree or the name of
+        its route.
     :param tier: priority, 0 is the most urgent.
     :param opened_s: when the request arrived.
     :param target_s: latency target from arrival to first token.
@@ -48,7 +50,7 @@
         part only together with all the parts before it.
     :param tokens_in: length of the prompt in tokens.
     :param is_tight: whether the stream allows only short pauses between
-        tokens and so must not run beside the prefill of long prompts.
+        tokens and so should not run beside the prefill of long prompts.
     """
 
     ticket_id: str
@@ -213,9 +215,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPlaced:
-    """Another instance placed a prompt on a server.
+    """A prompt was placed on a server, which will have its parts cached.
 
-    :param pieces: parts of the prompt, which the server will have cached.
+    A broker gets it for the prompts of other instances, and for the parts that
+    an engine lists as cached when the instance starts.
+
+    :param pieces: parts of the prompt.
     :param unread: tokens that the server still had to prefill at that time.
     :param tier: tier of its request.
     :param is_tight: whether its stream allows only short pauses.
--- a/src/siskinpass/request/ticket_queue.py
+++ b/src/siskinpass/request/ticket_queue.py
@@ -15,7 +15,7 @@
 
 from siskinpass.request.ticket import Ticket
 
-MAX_SHARE_CREDIT = 2.0
+MAX_SHARE_CREDIT = 2.0  # slots that a tier can be owed at most
 
 
 class TierQueue:
--- a/src/siskinpass/version/routes.py
+++ b/src/siskinpass/version/routes.py
@@ -1,8 +1,8 @@
 """One version of the routing document: routes, services and workspaces.
 
-A route is a leaf of the settings tree: it inherits the settings of the
-installation and can itself be overridden by the workspace that the caller's
-key belongs to.
+A request belongs to the route that its host and path select, and to the
+workspace of its API key. The tier of the workspace takes precedence over the
+tier of the route.
 """
 
 import enum
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Running store, workers and instances.
+    """Running store, backend servers and instances.
 
     :param ports: ports of each instance by its name, and of ``store``.
     """
@@ -111,7 +111,7 @@
 
     @property
     def runs(self):
-        """Return the requests that the workers ran, worker by worker."""
+        """Return the requests that the servers ran, server by server."""
         return [run for server in self.servers for run in server.runs]
 
     @property
@@ -241,7 +241,7 @@
     instances: int = 1,
     servers: int = 2,
 ) -> AsyncGenerator[Fleet, None]:
-    """Run a store, workers and instances, and stop them afterwards.
+    """Run a store, backend servers and instances; stop them afterwards.
 
     Entered once all instances are ready and accept connections.
     """
@@ -271,7 +271,7 @@
 
 
 def server_entry(port, **more):
-    """Return a worker's registration in the store."""
+    """Return a backend server's registration in the store."""
     return {
         'service': 'app',
         'address': f'127.0.0.1:{port}',
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -220,7 +220,7 @@
         assert waited == 5
 
     def test_upper_tier_bypasses_lower_tier_backlog(self):
-        """An upper-tier prompt is placed at once during a burst of drafts."""
+        """An upper-tier prompt is placed at once in a lower-tier burst."""
         made = broker()
         lower_tier = [TicketOpened(prompt(n, n)) for n in range(60)]
         first = grants(made.apply_all(lower_tier, 0.0))
@@ -230,7 +230,7 @@
         assert list(placed) == ['t-99']
 
     def test_reservation_grows_to_engines_with_long_prompts(self):
-        """An engine that prefilled long prompts takes its share of a burst."""
+        """An engine that prefilled long prompts is reserved and used."""
         made = broker()
         for number in range(40):
             made.apply(TicketOpened(prompt(number, number)), number * 0.1)
@@ -250,7 +250,7 @@
         assert min(placed.values()) > 0.4 * placed.total()
 
     def test_short_prompts_leave_a_busy_home(self):
-        """A burst with one shared part is spread over the partition."""
+        """A burst with one shared part is spread over the reserved servers."""
         made = broker((*SERVERS, *EXTRA_SERVERS))
         placed = []
         for number in range(8):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -37,7 +37,7 @@
     """Test the answers that callers get."""
 
     def test_forwards_request_and_answer(self):
-        """A request reaches a worker; its answer and receipt come back.
+        """A request reaches a server; its answer and receipt come back.
 
         The caller's key and internal headers that it sets are not forwarded.
         """
@@ -65,7 +65,7 @@
         ],
     )
     def test_refuses_unknown_paths_and_keys(self, path, key, code):
-        """An unknown path or key is refused and reaches no worker."""
+        """An unknown path or key is refused and reaches no server."""
 
         async def scenario(fleet):
             answer = await fleet.ask(path, key=key)
@@ -96,7 +96,7 @@
         run_scenario(scenario)
 
     def test_reads_chunked_bodies(self):
-        """A chunked body reaches the worker complete."""
+        """A chunked body reaches the server complete."""
 
         async def scenario(fleet):
             wire = (
@@ -112,7 +112,7 @@
 
 
 class TestFaults:
-    """Test failing workers."""
+    """Test failing backend servers."""
 
     @pytest.mark.parametrize(
         ('path', 'fault', 'status', 'runs'),
@@ -131,7 +131,7 @@
         status,
         runs,
     ):
-        """Only idempotent or unexecuted requests go to a second worker."""
+        """Only idempotent or unexecuted requests go to a second server."""
 
         async def scenario(fleet):
             # Equal servers are chosen in the order of their names.
@@ -188,10 +188,10 @@
         run_scenario(scenario, servers=1)
 
     def test_does_not_forward_503_of_a_server_that_ran(self):
-        """A 503 without the worker's not-run header is not forwarded.
+        """A 503 without the server's not-run header is not forwarded.
 
-        Callers would take the status as a promise that the request did not
-        run, though the worker ran it.
+        Callers would conclude from the status that the request did not run,
+        although the server ran it.
         """
 
         async def scenario(fleet):
@@ -251,7 +251,7 @@
         run_scenario(scenario)
 
     def test_leaving_server_gets_nothing_new(self):
-        """A draining worker gets no new requests.
+        """A draining server gets no new requests.
 
         An unreadable entry beside it has no effect.
         """
@@ -309,7 +309,7 @@
         run_scenario(scenario)
 
     def test_caller_that_leaves_ends_the_run(self):
-        """The connection to the worker is closed when the caller leaves."""
+        """The connection to the server is closed when the caller leaves."""
 
         async def scenario(fleet):
             for server in fleet.servers:
