--- a/src/siskinpass/connection/backend_requests.py
+++ b/src/siskinpass/connection/backend_requests.py
@@ -1,7 +1,7 @@
 """Encode requests to model engines and plain services.
 
-This is the only module that knows the HTTP interfaces of the two kinds of
-backend server.
+Outside of the package ``platform``, this is the only module that knows the HTTP
+interfaces of the two kinds of backend server.
 """
 
 from dataclasses import dataclass
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -260,6 +260,10 @@
         )
 
     def _grant(self, ticket: Ticket, *, owed: bool) -> bool:
+        """Grant a slot if a server is free, and return whether it was granted.
+
+        :param owed: whether the slot comes from the tier's guaranteed share.
+        """
         server = self._table.choose(ticket, self._now_s)
         if server is None:
             return False
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -147,8 +147,9 @@
             self._apply(pool, PeerLoadsReported(loads))
 
     def record_placement(self, placed: PromptPlaced) -> None:
-        """Record a prompt that another instance placed on a server.
+        """Record prompt parts that a server has cached without this broker.
 
+        Another instance placed the prompt, or the engine lists its parts.
         Prompts on unknown servers are ignored.
         """
         view = self._views.get(placed.server)
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -467,7 +467,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Plan:
-    """What all attempts of a request have in common.
+    """Properties that all attempts of a request share.
 
     :param deadline_s: end of the request, on the event loop's clock.
     """
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -30,7 +30,9 @@
 from siskinpass.request.ticket import PromptPlaced, ServerLoad
 
 BACKLOG = 1024  # connections waiting for accept, sized for bursts
-TICK_S = 0.1  # a tenth of the shortest time limit that it checks
+# Short against the limits that are checked on ticks: RECOVERY_GRACE_S of
+# ``known_servers`` and the end of the grace time.
+TICK_S = 0.1
 LOADS_PORT_STEP = 2  # offset of the load port from the heartbeat port
 # Idle connections to backend servers are kept long, because opening new ones is
 # expensive; a server's Keep-Alive header shortens the time.
--- a/src/siskinpass/process/fleet/watch.py
+++ b/src/siskinpass/process/fleet/watch.py
@@ -14,6 +14,7 @@
 # repeated within the time after which an instance counts as connected again,
 # less the time that the listing that follows may take.
 LIST_MARGIN_S = 0.1
+# Bounds of the delay before the watch is repeated after a failure.
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 0.6
 
--- a/src/siskinpass/process/known_servers.py
+++ b/src/siskinpass/process/known_servers.py
@@ -1,7 +1,8 @@
 """Track which backend servers may be used.
 
-Pure logic. During an outage of the registry its entries may expire although the
-servers are alive; their entries reappear soon after the registry answers again.
+Pure logic. During an outage of the registry (the platform's object store) its
+entries may expire although the servers are alive; the entries reappear soon
+after the registry answers again.
 A server whose entry is missing is still used for a grace period after an
 outage, and removed after that.
 """
@@ -11,7 +12,7 @@
 from siskinpass.request.ticket import ServerView
 
 # The platform states that expired entries reappear about two seconds after the
-# store is available again.
+# registry is available again.
 RECOVERY_GRACE_S = 2.2
 # Entries expire after three heartbeat intervals; a shorter outage removes none.
 MIN_OUTAGE_S = 1.5
--- a/src/siskinpass/process/placement.py
+++ b/src/siskinpass/process/placement.py
@@ -112,7 +112,7 @@
         """Return the failure rate, decayed since the last outcome.
 
         Without the decay a server that gets no requests would keep its failure
-        rate for ever.
+        rate forever.
 
         :returns: 0 to 1.
         """
--- a/src/siskinpass/request/ticket.py
+++ b/src/siskinpass/request/ticket.py
@@ -252,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockTicked:
-    """A periodic tick, on which time-outs are checked."""
+    """A periodic tick, on which timeouts are checked."""
 
 
 # Events that change only what is known about the load of the servers.
--- a/src/siskinpass/request/timeouts.py
+++ b/src/siskinpass/request/timeouts.py
@@ -1,4 +1,4 @@
-"""Time-outs of attempts on backend servers that stop responding.
+"""Timeouts of attempts on backend servers that stop responding.
 
 Pure logic without I/O, for servers that hang, lose responses or are behind a
 dead connection. Only work that may be repeated is moved to another server:
@@ -34,7 +34,7 @@
 
 
 def attempt_timeouts(route: Route, sends: SendCounts) -> AttemptTimeouts | None:
-    """Return the time-outs of an attempt, or None where none apply.
+    """Return the timeouts of an attempt, or None where none apply.
 
     None apply where no further attempt is allowed, because the request must
     not be repeated or this is its last attempt.
--- a/src/siskinpass/version/repository.py
+++ b/src/siskinpass/version/repository.py
@@ -32,8 +32,8 @@
 
 HEAD = 'tree/head'
 PART = 'tree/parts/'
-MAX_HISTORY = 50
-MAX_TRIES = 4
+MAX_HISTORY = 50  # edits; bounds the size of the head object
+MAX_TRIES = 4  # attempts to commit one edit
 DIGEST_BYTES = 16
 ROOT = '/'
 
--- a/src/siskinpass/version/routes.py
+++ b/src/siskinpass/version/routes.py
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """One workspace, a customer of the installation.
+    """One workspace, a customer of the deployment.
 
     :param keys: API keys of its callers.
     :param tier: priority, 0 is the most urgent; takes precedence over the
--- a/src/siskinpass/version/schema.py
+++ b/src/siskinpass/version/schema.py
@@ -98,7 +98,7 @@
 class Root:
     """Root of the settings tree.
 
-    :param deployment: name of the installation.
+    :param deployment: name of the deployment.
     :param settings: settings that apply where nothing overrides them.
     :param pools: pools of backend servers by name.
     """
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -175,8 +175,8 @@
         seen = made.apply(TokensObserved('server-0', 0.01), 1.1)
         assert [command.ticket_id for command in seen] == ['c', 'd']
 
-    def test_tokens_while_shunned_do_not_end_probing(self):
-        """Tokens of older streams during the backoff do not end the probing."""
+    def test_tokens_during_ejection_do_not_end_probing(self):
+        """Tokens of older streams do not end the ejection or the probing."""
         made = broker(servers=1, limit=LimitPolicy(4, 4, 4), pauses=False)
         made.apply(TicketOpened(ticket('a')), 0.0)
         made.apply(GrantReleased('a', failed=True), 0.1)
@@ -250,7 +250,7 @@
         assert not made.apply(TicketOpened(ticket('c')), 0.0)
 
     def test_failed_server_is_ejected_then_probed(self):
-        """A failed server gets one request once its backoff has passed."""
+        """A failed server gets one request once its ejection has ended."""
         made = broker(servers=1)
         made.apply(TicketOpened(ticket('a')), 0.0)
         made.apply(GrantReleased('a', failed=True), 0.0)
--- a/tests/test_resend.py
+++ b/tests/test_resend.py
@@ -1,4 +1,4 @@
-"""Test retry decisions, attempt time-outs and the retry budget."""
+"""Test retry decisions, attempt timeouts and the retry budget."""
 
 import itertools
 
@@ -149,7 +149,7 @@
 
 
 class TestAttemptTimeouts:
-    """Test which attempts have time-outs."""
+    """Test which attempts have timeouts."""
 
     @pytest.mark.parametrize(
         ('kind', 'sends', 'has_timeouts'),
@@ -168,7 +168,7 @@
         sends,
         has_timeouts,
     ):
-        """No time-outs apply where no other server may run the work."""
+        """No timeouts apply where no other server may run the work."""
         assert (attempt_timeouts(kind, sends) is not None) is has_timeouts
 
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -132,9 +132,11 @@
             for number, tier in enumerate(classes)
         ]
         table = RouteTable(1, tuple(routes), {}, workspaces=tuple(workspaces))
-        least = max((tier for tier in ranked if tier is not None), default=0)
+        lowest_tier = max(
+            (tier for tier in ranked if tier is not None), default=0
+        )
         pairs = {
-            (least if one.tier is None else one.tier, other.tier): (
+            (lowest_tier if one.tier is None else one.tier, other.tier): (
                 table.tier_of(other, one)
             )
             for one in workspaces
