--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -88,33 +88,36 @@
         return self._parser is not None and self._parser.count > 0
 
     def start(self, connection: BackendConnection, request: bytes) -> None:
-        """Send the request and start to measure the server's silence."""
+        """Send the request and start the timeouts of the attempt."""
         self._connection = connection
         self._last_received_s = self._loop.time()
         connection.send(request, self)
 
     def cancel(self) -> None:
-        """Close the connection, on which the server stops its work."""
+        """Close the connection, so that the server stops its work."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.cancel()
 
-    async def wait(self, limits: AttemptTimeouts | None) -> AttemptResult:
+    async def wait(self, timeouts: AttemptTimeouts | None) -> AttemptResult:
         """Wait for the end of the attempt.
 
-        An attempt that exceeds a limit is aborted and counts as failed.
+        An attempt that times out is aborted and counts as failed.
 
-        :param limits: longest silence of the server, ``None`` for no limit.
+        :param timeouts: longest times without data from the server, ``None``
+            for no timeouts.
         """
-        while limits and not self.finished.done():
-            allowed_s = limits.pause_s if self._has_received else limits.first_s
+        while timeouts and not self.finished.done():
+            allowed_s = (
+                timeouts.pause_s if self._has_received else timeouts.first_s
+            )
             remaining_s = self._last_received_s + allowed_s - self._loop.time()
             if remaining_s <= 0:
                 self._abort(f'no data received for {allowed_s:.1f} s')
             await asyncio.wait((self.finished,), timeout=max(0, remaining_s))
         return await self.finished
 
-    def set_flow(self, *, on: bool) -> None:
+    def set_reading(self, *, on: bool) -> None:
         """Pause or resume reading, as backpressure from the caller requires."""
         if self._connection is not None:
             self._connection.set_reading(on=on)
@@ -195,9 +198,9 @@
         ending = AttemptOutcome.cut if self.has_begun else AttemptOutcome.lost
         return AttemptResult(ending, self._head, cause=cause)
 
-    def _end(self, outcome: AttemptResult) -> None:
+    def _end(self, attempt_result: AttemptResult) -> None:
         if not self.finished.done():
-            self.finished.set_result(outcome)
+            self.finished.set_result(attempt_result)
 
 
 def _rejection_of(head: AnswerHead) -> str:
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -103,8 +103,8 @@
             self.release(ticket, failed=False)
             raise
 
-    def note_prompt_read(self, ticket: Ticket) -> None:
-        """Remove the prompt from the prefill work of the ticket's server."""
+    def complete_prefill(self, ticket: Ticket) -> None:
+        """Record that the server has prefilled the ticket's prompt."""
         self._apply(ticket.pool, PrefillCompleted(ticket.ticket_id))
 
     def release(
@@ -137,8 +137,8 @@
         for pool in self._brokers.keys() | by_pool.keys():
             # The configuration may arrive after the engines that it describes
             # were listed, so their cache size is updated each time.
-            memory_tokens = self._policy_for(pool).memory_tokens
-            self.broker(pool).table.cache.resize(memory_tokens)
+            kv_capacity_tokens = self._policy_for(pool).kv_capacity_tokens
+            self.broker(pool).table.cache.resize(kv_capacity_tokens)
             self._apply(pool, ServersListed(tuple(by_pool.get(pool, ()))))
 
     def set_peer_loads(self, loads: Mapping[str, ServerLoad]) -> None:
@@ -147,8 +147,9 @@
             self._apply(pool, PeerLoadsReported(loads))
 
     def record_placement(self, placed: PromptPlaced) -> None:
-        """Record a prompt that another instance placed on a server.
+        """Record prompt parts that a server has cached without this broker.
 
+        Another instance placed the prompt, or the engine lists its parts.
         Prompts on unknown servers are ignored.
         """
         view = self._views.get(placed.server)
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -30,7 +30,9 @@
 from siskinpass.request.ticket import PromptPlaced, ServerLoad
 
 BACKLOG = 1024  # connections waiting for accept, sized for bursts
-TICK_S = 0.1  # a tenth of the shortest time limit that it checks
+# Short against the limits that are checked on ticks: RECOVERY_GRACE_S of
+# ``known_servers`` and the end of the grace time.
+TICK_S = 0.1
 LOADS_PORT_STEP = 2  # offset of the load port from the heartbeat port
 # Idle connections to backend servers are kept long, because opening new ones is
 # expensive; a server's Keep-Alive header shortens the time.
@@ -142,7 +144,7 @@
         wait_s = watch_wait_s(self._settings.operator_bounds.contact_s)
         for kind, callback in (
             (CONFIG_KIND, self._state.apply_config),
-            (SERVERS_KIND, self._state.apply_workers),
+            (SERVERS_KIND, self._state.apply_servers),
         ):
             self._start(KindWatch(self._store, kind, wait_s, callback).run())
         self._start(self._members.register())
--- a/src/siskinpass/process/grants.py
+++ b/src/siskinpass/process/grants.py
@@ -110,7 +110,7 @@
         raise TypeError(event)
 
     @_handle_event.register
-    def _handle_prompt_read(
+    def _handle_prefill_completed(
         self, event: PrefillCompleted, now_s: float
     ) -> None:
         grant = self._running.get(event.ticket_id)
@@ -118,8 +118,8 @@
             return
         server = self._table.find(grant.server)
         if server is not None:
-            read = unread_by_tier(grant.ticket, grant.unread)
-            server.add(-ServerLoad(unread=read))
+            prefilled = unread_by_tier(grant.ticket, grant.unread)
+            server.add(-ServerLoad(unread=prefilled))
             server.clear_failures(now_s)
         grant.unread = 0
 
--- a/tests/test_resend.py
+++ b/tests/test_resend.py
@@ -1,4 +1,4 @@
-"""Test retry decisions, attempt time-outs and the retry budget."""
+"""Test retry decisions, attempt timeouts and the retry budget."""
 
 import itertools
 
@@ -136,8 +136,8 @@
             step = decide_next_step(kind, ending, sends)
             if step not in {NextStep.resend, NextStep.resume}:
                 break
-        most = kind.max_attempts if kind.may_repeat else 1
-        assert sends.run <= most
+        max_runs = kind.max_attempts if kind.may_repeat else 1
+        assert sends.run <= max_runs
         assert sends.not_run <= MAX_NOT_RUN_SENDS
         if step is NextStep.tell_not_run:
             assert sends.run == 0
@@ -149,7 +149,7 @@
 
 
 class TestAttemptTimeouts:
-    """Test which attempts have time-outs."""
+    """Test which attempts have timeouts."""
 
     @pytest.mark.parametrize(
         ('kind', 'sends', 'has_timeouts'),
@@ -168,7 +168,7 @@
         sends,
         has_timeouts,
     ):
-        """No time-outs apply where no other server may run the work."""
+        """No timeouts apply where no other server may run the work."""
         assert (attempt_timeouts(kind, sends) is not None) is has_timeouts
 
 
