--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -38,7 +38,7 @@
     PeerLinks,
     PeerSecurity,
 )
-from siskinpass.process.status import encode_after
+from siskinpass.process.status import encode_counts_after
 from siskinpass.request.ticket import (
     Command,
     Granted,
@@ -410,13 +410,13 @@
     for number in range(200):
         outcome = Outcome(f'workspace-{number}/counter', met=True, first_ms=90)
         book.note(outcome, 1.0)
-    encoded = encode_after(book, 0, 1)
+    encoded = encode_counts_after(book, 0, 1)
     size = sum(one.ByteSize() for one in encoded) / len(encoded)
     times = []
     for _ in range(RUNS):
         start_s = time.process_time()
         for _ in range(20):
-            encode_after(book, 0, 1)
+            encode_counts_after(book, 0, 1)
         times.append((time.process_time() - start_s) / 4000 * 1_000_000)
     return {'bytes': round(size), 'encode_us': _spread(times)}
 
--- a/src/siskinpass/cli_explain.py
+++ b/src/siskinpass/cli_explain.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from siskinpass.process.request_story import read_log, tell_story
+from siskinpass.process.request_timeline import build_timeline, read_log
 
 STATUS_UNKNOWN = 1
 
@@ -15,7 +15,7 @@
 
     :param call_id: the caller's id of its attempt.
     """
-    told = tell_story(tuple(read_log(sys.stdin.buffer)), call_id)
+    told = build_timeline(tuple(read_log(sys.stdin.buffer)), call_id)
     for line in told:
         sys.stdout.write(f'{line}\n')
     if not told:
--- a/src/siskinpass/process/attempt.py
+++ b/src/siskinpass/process/attempt.py
@@ -16,7 +16,7 @@
 STATUS_UNAVAILABLE = 503
 
 
-class CallerGoneError(SiskinpassError):
+class CallerDisconnectedError(SiskinpassError):
     """The caller went away before its answer was whole."""
 
 
@@ -70,7 +70,7 @@
             code = Code.backend_error
             if status == STATUS_UNAVAILABLE:
                 code = Code.retry_backend_leaving
-            self.break_off(BackendError(code, f'status {status}'))
+            self.abort(BackendError(code, f'status {status}'))
         return True
 
     def take_piece(self, piece: bytes) -> None:
@@ -84,7 +84,7 @@
         try:
             whole = self.parser.feed(piece, now_s)
         except BackendError as error:
-            self.break_off(error)
+            self.abort(error)
             return
         if whole:
             self.first_token_s = self.first_token_s or now_s
@@ -106,7 +106,7 @@
         if not self.finished.done():
             self.finished.set_exception(error)
 
-    def break_off(self, error: SiskinpassError) -> None:
+    def abort(self, error: SiskinpassError) -> None:
         """End the attempt and stop the backend server's work."""
         connection, self._connection = self._connection, None
         if connection is not None:
@@ -116,7 +116,7 @@
 
     def drop_caller(self) -> None:
         """Give up a caller that does not read."""
-        self.break_off(CallerGoneError(Code.stream_cut))
+        self.abort(CallerDisconnectedError(Code.stream_cut))
 
     def set_flow(self, *, on: bool) -> None:
         """Slow down or go on, by the pace of the caller."""
--- a/src/siskinpass/process/claims.py
+++ b/src/siskinpass/process/claims.py
@@ -18,7 +18,7 @@
     StoreError,
     StoreUnconfirmedError,
 )
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.store import Store
 from siskinpass.request.call import Call
 from siskinpass.request.claim import (
@@ -77,7 +77,7 @@
         self._store = store
         self._wall_clock = wall_clock
         self._unsettled: deque[HeldClaim] = deque(maxlen=UNSETTLED_MOST)
-        self._log = PartLog('claim')
+        self._log = ComponentLog('claim')
 
     @property
     def unsettled(self) -> int:
--- a/src/siskinpass/process/discovery.py
+++ b/src/siskinpass/process/discovery.py
@@ -13,7 +13,7 @@
 
 from siskinpass.codes import Code
 from siskinpass.exceptions import StoreError
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.request.ticket import ServerView
 
 ENTRY = 'entry'
@@ -69,7 +69,7 @@
     :param platform: ``ip:port`` of the platform.
     """
     http = urllib3.PoolManager(maxsize=1)
-    log = PartLog('list')
+    log = ComponentLog('list')
     while True:
         try:
             listing = await asyncio.to_thread(
--- a/src/siskinpass/process/dispatcher.py
+++ b/src/siskinpass/process/dispatcher.py
@@ -6,7 +6,7 @@
 from siskinpass.codes import Code
 from siskinpass.process.broker_client import BrokerClient, Port, TicketListener
 from siskinpass.process.hosting import FALLBACK, BrokerHost
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.rendezvous import holder
 from siskinpass.request.ticket import Command, Event, Ticket, TokensObserved
 
@@ -64,7 +64,7 @@
         self._clients: dict[str, BrokerClient] = {}
         self._instances: frozenset[str] = frozenset((own,))
         self._unreachable: dict[str, float] = {}
-        self._log = PartLog('dispatch')
+        self._log = ComponentLog('dispatch')
         self.alone = False
 
     @property
--- a/src/siskinpass/process/engines.py
+++ b/src/siskinpass/process/engines.py
@@ -11,7 +11,7 @@
 from urllib3.exceptions import HTTPError
 
 from siskinpass.process.lease_keeper import LeaseKeeper
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.orders import EngineReport, Order, OrderPlan
 from siskinpass.request.ticket import ServerView
 from siskinpass.version.tree_version import CurrentVersion
@@ -24,13 +24,13 @@
 ENGINE = 'engine'
 
 
-class EngineKeeper:
+class EngineReconciler:
     """Bring the engines to hold what the tree says, while the lease holds."""
 
     def __init__(
         self,
         lease: LeaseKeeper,
-        book: CurrentVersion,
+        current_version: CurrentVersion,
         servers: Callable[[], Iterable[ServerView]],
     ) -> None:
         """Start without open orders.
@@ -38,12 +38,12 @@
         :param servers: gives the listed backend servers.
         """
         self._lease = lease
-        self._book = book
+        self._book = current_version
         self._servers = servers
         self._plans: dict[str, OrderPlan] = {}
         self._http = urllib3.PoolManager(maxsize=4, retries=False)
         self._loop = asyncio.get_running_loop()
-        self._log = PartLog('engine')
+        self._log = ComponentLog('engine')
         self._open: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -20,9 +20,9 @@
     engine_urgency,
     make_ticket,
 )
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.metrics import ANSWERED, Metrics
-from siskinpass.process.request_story import (
+from siskinpass.process.request_timeline import (
     ATTEMPT_FAILED,
     REQUEST_REFUSED,
     STREAM_CUT,
@@ -75,7 +75,7 @@
     metrics: Metrics
     may_retry: Callable[[str], bool]
     note_request: Callable[[str], None]
-    log: PartLog = field(default_factory=lambda: PartLog('forward'))
+    log: ComponentLog = field(default_factory=lambda: ComponentLog('forward'))
 
 
 class Forwarder:
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -15,7 +15,7 @@
 from siskinpass.exceptions import BackendError, SiskinpassError
 from siskinpass.platform.engines import KEPT_PARTS_CALL, decode_kept_parts
 from siskinpass.process.fleet.tickets import hash_parts
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.request.inbound import STATUS_OK, Prompt
 from siskinpass.request.ticket import PromptPlaced, ServerView
 
@@ -49,7 +49,7 @@
         self._backends = backends
         self._on_parts = on_parts
         self._timeout_s = timeout_s
-        self._log = PartLog('kept-parts')
+        self._log = ComponentLog('kept-parts')
 
     async def load(self, engines: Iterable[ServerView]) -> None:
         """Query the engines concurrently; failures are only logged."""
--- a/src/siskinpass/process/fleet/loads.py
+++ b/src/siskinpass/process/fleet/loads.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.request.ticket import PromptPiece, PromptPlaced, ServerLoad
 
 SEND_INTERVAL_S = 0.1  # the interval given in docs/design/platform.md
@@ -86,7 +86,7 @@
         self._on_placed = on_placed
         self._loop = asyncio.get_running_loop()
         self._peer_loads = PeerLoadTable()
-        self._log = PartLog('loads')
+        self._log = ComponentLog('loads')
         self._sent_loads: Mapping[str, ServerLoad] = {}
         self._sent_s = 0.0
         self._has_updates = False
--- a/src/siskinpass/process/fleet/members.py
+++ b/src/siskinpass/process/fleet/members.py
@@ -10,7 +10,7 @@
 from siskinpass.process.fleet.settings import FleetSettings
 from siskinpass.process.fleet.store_client import StoreClient
 from siskinpass.process.gossip import Gossip
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.membership import Member, Membership, MembershipPolicy
 
 NS_PER_MS = 1_000_000
@@ -29,7 +29,7 @@
     def __init__(self, settings: FleetSettings, store: StoreClient) -> None:
         self._settings = settings
         self._store = store
-        self._log = PartLog('member')
+        self._log = ComponentLog('member')
         self._max_seen = 1
         self._own = Member(
             settings.name,
--- a/src/siskinpass/process/fleet/node.py
+++ b/src/siskinpass/process/fleet/node.py
@@ -23,7 +23,7 @@
 from siskinpass.process.fleet.state import StoredState
 from siskinpass.process.fleet.store_client import StoreClient
 from siskinpass.process.fleet.watch import KindWatch, watch_wait_s
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.metrics import Metrics
 from siskinpass.request.inbound import WireRequest
 from siskinpass.request.retry_window import RetryWindow
@@ -56,7 +56,7 @@
         """Create the parts without opening sockets or starting tasks."""
         self._settings = settings
         self._loop = asyncio.get_running_loop()
-        self._log = PartLog('node')
+        self._log = ComponentLog('node')
         self._metrics = Metrics()
         self._directory_ttl_s = min(
             DIRECTORY_TTL_S,
@@ -250,9 +250,9 @@
         caller.answer(STATUS_OK if is_ready else STATUS_UNAVAILABLE)
 
     def _serve_metrics(self, caller: HttpCaller, request: WireRequest) -> None:
-        self._metrics.state('running', self._assigner.running)
-        self._metrics.state('waiting', self._assigner.waiting)
-        self._metrics.state('version', self._state.version)
+        self._metrics.set_state('running', self._assigner.running)
+        self._metrics.set_state('waiting', self._assigner.waiting)
+        self._metrics.set_state('version', self._state.version)
         caller.answer(STATUS_OK, (TEXT,), self._metrics.render())
 
     def _serve_directory(
--- a/src/siskinpass/process/fleet/state.py
+++ b/src/siskinpass/process/fleet/state.py
@@ -14,7 +14,7 @@
     StoreUpdate,
 )
 from siskinpass.process.known_servers import KnownServers
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.request.ticket import ServerView
 from siskinpass.version.routes import CallerLimits, RouteTable
 
@@ -32,7 +32,7 @@
     ) -> None:
         self._on_servers = on_servers
         self._loop = asyncio.get_running_loop()
-        self._log = PartLog('state')
+        self._log = ComponentLog('state')
         self._table: RouteTable | None = None
         self._servers = KnownServers()
         self._has_servers = False
--- a/src/siskinpass/process/fleet/watch.py
+++ b/src/siskinpass/process/fleet/watch.py
@@ -8,7 +8,7 @@
 from siskinpass.exceptions import FormatError, StoreError
 from siskinpass.platform.objects import Page, StoredObject
 from siskinpass.process.fleet.store_client import WATCH_MARGIN_S, StoreClient
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 
 # A lost answer leaves its connection open without data. The watch has to be
 # repeated within the time after which an instance counts as connected again,
@@ -69,7 +69,7 @@
         self._kind = kind
         self._on_update = on_update
         self._wait_s = wait_s
-        self._log = PartLog('store')
+        self._log = ComponentLog('store')
         self._revision: int | None = None
         self._failures = 0
 
--- a/src/siskinpass/process/front.py
+++ b/src/siskinpass/process/frontend.py
@@ -34,7 +34,7 @@
         """Start to answer a request."""
 
 
-class Front:
+class Frontend:
     """Own the listening sockets and the request threads."""
 
     def __init__(
--- a/src/siskinpass/process/gossip.py
+++ b/src/siskinpass/process/gossip.py
@@ -8,7 +8,7 @@
 from google.protobuf.message import DecodeError
 
 from siskinpass.process.codec import decode_packet, encode_packet
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.membership import (
     Member,
     Membership,
@@ -42,7 +42,7 @@
         self._on_change = on_change
         self._loop = asyncio.get_running_loop()
         self._seen: tuple[Member, ...] = ()
-        self._log = PartLog('member')
+        self._log = ComponentLog('member')
         self.bytes_sent = 0
         self.packets_sent = 0
 
--- a/src/siskinpass/process/hosting.py
+++ b/src/siskinpass/process/hosting.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from siskinpass.process.broker import Broker, BrokerPolicy
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.request.ticket import (
     ClockTicked,
     Command,
@@ -78,7 +78,7 @@
         self._policy_of = policy_of
         self._hosted: dict[str, _Hosted] = {}
         self._servers: dict[str, tuple[ServerView, ...]] = {}
-        self._log = PartLog('broker')
+        self._log = ComponentLog('broker')
 
     @property
     def groups(self) -> dict[str, Broker]:
--- a/src/siskinpass/process/lease_keeper.py
+++ b/src/siskinpass/process/lease_keeper.py
@@ -4,7 +4,7 @@
 
 from siskinpass.exceptions import StoreError
 from siskinpass.process.lease import LeaseLogic, LeaseRecord
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.store import Store
 
 LEASE = 'leases/status'
@@ -22,7 +22,7 @@
         self._key = key
         self._logic = LeaseLogic(own, LEASE_S, MARGIN_S)
         self._loop = asyncio.get_running_loop()
-        self._log = PartLog('lease')
+        self._log = ComponentLog('lease')
 
     @property
     def fence(self) -> int | None:
--- a/src/siskinpass/process/logs.py
+++ b/src/siskinpass/process/logs.py
@@ -10,7 +10,7 @@
 
 # Lines of one part a second that tell of ordinary work; failures always count
 # as out of the ordinary. Three times the heaviest minute of the users' days.
-OFTEN_MOST = 100
+MAX_ROUTINE_LINES = 100
 PERIOD_S = 1.0
 # A reader that stalls costs lines, not memory: about a second of them.
 HELD_BYTES_MOST = 262_144
@@ -65,7 +65,7 @@
             )
 
 
-class PartLog:
+class ComponentLog:
     """Log for one part of the process.
 
     :param part: fixed prefix, as ``relay`` or ``tree``.
@@ -84,7 +84,7 @@
         if period != self._period:
             self._start_period(period)
         self._lines += 1
-        if self._lines > OFTEN_MOST:
+        if self._lines > MAX_ROUTINE_LINES:
             self._left_out[sentence] += 1
         else:
             self.note(sentence, **fields)
--- a/src/siskinpass/process/metrics.py
+++ b/src/siskinpass/process/metrics.py
@@ -110,7 +110,7 @@
         """Count one call to the object store."""
         self._store_calls.inc({'kind': kind})
 
-    def state(self, name: str, level: float) -> None:
+    def set_state(self, name: str, level: float) -> None:
         """Set one gauge."""
         self._gauges.set({'name': name}, level)
 
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -23,12 +23,12 @@
 from siskinpass.process.counts import CountBook
 from siskinpass.process.discovery import Listing, follow_list
 from siskinpass.process.dispatcher import Dispatcher
-from siskinpass.process.engines import EngineKeeper
-from siskinpass.process.front import Front
+from siskinpass.process.engines import EngineReconciler
+from siskinpass.process.frontend import Frontend
 from siskinpass.process.gossip import Gossip
 from siskinpass.process.hosting import FALLBACK, BrokerHost
 from siskinpass.process.lease_keeper import LEASE, LeaseKeeper
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.membership import Member, Membership, MembershipPolicy
 from siskinpass.process.metrics import Metrics
 from siskinpass.process.overview import describe_brokers, describe_versions
@@ -37,7 +37,7 @@
     PeerLinks,
 )
 from siskinpass.process.policies import broker_policy
-from siskinpass.process.relay import Relay, RelayParts
+from siskinpass.process.relay import Relay, RelayContext
 from siskinpass.process.settings import (
     FIFO_RANDOM,
     LEAST_OUTSTANDING,
@@ -46,9 +46,9 @@
     load_peer_security,
 )
 from siskinpass.process.status import (
-    StatusKeeper,
-    StatusParts,
-    encode_after,
+    StatusAggregator,
+    StatusContext,
+    encode_counts_after,
 )
 from siskinpass.process.store import Store
 from siskinpass.process.streams import StreamMonitor
@@ -71,18 +71,18 @@
         """Make the parts; must be called on the event loop."""
         self._settings = settings
         self._loop = asyncio.get_running_loop()
-        self._log = PartLog('node')
+        self._log = ComponentLog('node')
         self._incarnation = time.time_ns() // NS_PER_MS
         self._security = load_peer_security(settings)
         self._listing = Listing((), ())
         self._addresses: dict[str, str] = {}
         self._leaving = False
         self.stopped = asyncio.Event()
-        self.metrics_book = Metrics()
+        self.process_metrics = Metrics()
         self._store = Store(
             f'http://{settings.platform}',
             lambda kind: self._loop.call_soon_threadsafe(
-                self.metrics_book.store_called,
+                self.process_metrics.store_called,
                 kind,
             ),
         )
@@ -123,7 +123,7 @@
             settings.name,
             self.host,
             self._links.dial,
-            self.metrics_book.retried,
+            self.process_metrics.retried,
         )
         self.dispatcher.alone = settings.decisions != SHARED
 
@@ -133,18 +133,18 @@
         self._counts = CountBook()
         self._claims = Claims(self._store)
         self._backends = BackendPool(self._loop)
-        self.watch = StreamMonitor(self.dispatcher)
+        self.stream_monitor = StreamMonitor(self.dispatcher)
         self.relay = Relay(
-            RelayParts(
+            RelayContext(
                 settings.name,
                 self._incarnation,
                 self.tree_watch.book,
                 self.dispatcher,
                 self._backends,
-                self.watch,
+                self.stream_monitor,
                 self._claims,
                 self._counts,
-                self.metrics_book,
+                self.process_metrics,
                 self._address_of,
                 settings.decisions not in {LEAST_OUTSTANDING, FIFO_RANDOM},
                 lambda: first_address(self.addresses(settings.zone)),
@@ -155,8 +155,8 @@
             LEASE,
             f'{settings.name}-{self._incarnation}',
         )
-        self._status = StatusKeeper(
-            StatusParts(
+        self._status = StatusAggregator(
+            StatusContext(
                 settings.name,
                 self._store,
                 self._links,
@@ -166,12 +166,12 @@
             ),
             self._lease,
         )
-        self._engines = EngineKeeper(
+        self._engines = EngineReconciler(
             self._lease,
             self.tree_watch.book,
             lambda: self._listing.servers,
         )
-        self._front = Front(settings, self, self.relay)
+        self._front = Frontend(settings, self, self.relay)
 
     async def run(self) -> None:
         """Serve until told to leave and the last request is answered."""
@@ -247,13 +247,13 @@
 
     def metrics(self) -> bytes:
         """Return the counters."""
-        book = self.metrics_book
-        book.state('open_requests', self.relay.open_requests)
-        book.state('open_streams', self.watch.open_streams)
-        book.state('live_instances', len(self.gossip.membership.live))
-        book.state('tree_version', self.tree_watch.book.number)
-        book.state('peer_bytes_sent', self.gossip.bytes_sent)
-        book.state('peer_packets_sent', self.gossip.packets_sent)
+        book = self.process_metrics
+        book.set_state('open_requests', self.relay.open_requests)
+        book.set_state('open_streams', self.stream_monitor.open_streams)
+        book.set_state('live_instances', len(self.gossip.membership.live))
+        book.set_state('tree_version', self.tree_watch.book.number)
+        book.set_state('peer_bytes_sent', self.gossip.bytes_sent)
+        book.set_state('peer_packets_sent', self.gossip.packets_sent)
         return book.render()
 
     async def propose(self, proposal: Proposal) -> int:
@@ -280,7 +280,7 @@
     def counts_after(self, second: int) -> pb.CountsReply:
         """Return this instance's counts for a peer."""
         last = int(self._loop.time()) - 1
-        counts = encode_after(self._counts, second, last)
+        counts = encode_counts_after(self._counts, second, last)
         return pb.CountsReply(counts=counts, last_second=last)
 
     @asynccontextmanager
@@ -302,7 +302,7 @@
             for running in (
                 self.gossip.run(),
                 self.host.run(),
-                self.watch.run(),
+                self.stream_monitor.run(),
                 self.tree_watch.run(),
                 self._claims.run(),
                 self._lease.run(),
--- a/src/siskinpass/process/relay.py
+++ b/src/siskinpass/process/relay.py
@@ -13,13 +13,13 @@
     RequestError,
     SiskinpassError,
 )
-from siskinpass.process.attempt import CallerGoneError
+from siskinpass.process.attempt import CallerDisconnectedError
 from siskinpass.process.claims import Claims, HeldClaim, Replay
 from siskinpass.process.counts import CountBook, Outcome
 from siskinpass.process.dispatcher import Dispatcher
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.metrics import Metrics
-from siskinpass.process.run import RequestRun, RunOutcome, RunTools
+from siskinpass.process.run import RequestRun, RunContext, RunOutcome
 from siskinpass.process.streams import StreamMonitor
 from siskinpass.request.answer import error_answer, whole_answer
 from siskinpass.request.call import Call, parse_call
@@ -34,42 +34,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayParts:
+class RelayContext:
     """Hold what the relay works with."""
 
     name: str
     incarnation: int
-    book: CurrentVersion
+    current_version: CurrentVersion
     dispatcher: Dispatcher
     backends: BackendPool
-    watch: StreamMonitor
+    stream_monitor: StreamMonitor
     claims: Claims
     counts: CountBook
     metrics: Metrics
     address_of: Callable[[str], str]
-    tells_priority: bool
+    sends_priority: bool
     other_address: Callable[[], str]
 
 
 class Relay:
     """Start a task for each request and bring it to its one answer."""
 
-    def __init__(self, parts: RelayParts) -> None:
+    def __init__(self, parts: RelayContext) -> None:
         """Keep the parts."""
         self._parts = parts
         self._loop = asyncio.get_running_loop()
         self._numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._log = PartLog('relay')
-        self._tools = RunTools(
+        self._log = ComponentLog('relay')
+        self._tools = RunContext(
             parts.name,
             parts.dispatcher,
             parts.backends,
-            parts.watch,
+            parts.stream_monitor,
             RetryBudget(),
             parts.metrics.retried,
             parts.address_of,
-            parts.tells_priority,
+            parts.sends_priority,
         )
         self.leaving = False
 
@@ -119,7 +119,7 @@
                 LEAVING_RETRY_MS,
                 self._parts.other_address(),
             )
-        version = self._parts.book.current
+        version = self._parts.current_version.current
         if version is None:
             raise RefusedError(Code.no_tree_in_force, '', MS_PER_S)
         return parse_call(head, body, version)
@@ -139,7 +139,7 @@
             if isinstance(claim, Replay):
                 return RunOutcome(request_id)
             await run.answer(keep_alive=head.keep_alive)
-        except CallerGoneError as error:
+        except CallerDisconnectedError as error:
             run.outcome.gone = True
             caller.abort()
             self._settle(claim, call, run, error)
@@ -216,11 +216,11 @@
         run: RequestRun,
         error: SiskinpassError,
     ) -> None:
-        if run.started:
+        if run.stream_started:
             # A stream that has begun can only be cut, so that it is not
             # taken for whole.
             self._parts.metrics.refused(error.code)
-            run.write_late_error(error)
+            run.write_error_event(error)
             caller.abort_after_write()
             return
         self._answer_error(caller, error, run.ran)
@@ -248,7 +248,7 @@
         if outcome.code is None:
             self._parts.metrics.answered(call.node, outcome.tokens)
         class_settings = call.class_settings
-        met = outcome.code is None and outcome.meets(class_settings)
+        met = outcome.code is None and outcome.meets_targets(class_settings)
         self._parts.counts.note(
             Outcome(
                 call.node,
--- a/src/siskinpass/process/request_story.py
+++ b/src/siskinpass/process/request_timeline.py
@@ -83,7 +83,7 @@
             )
 
 
-def tell_story(log: Sequence[LogLine], call_id: str) -> list[str]:
+def build_timeline(log: Sequence[LogLine], call_id: str) -> list[str]:
     """Return what the logs tell of one request, in order of time.
 
     Its own lines come first, then what happened at its instance and at its
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -21,7 +21,7 @@
     RefusedError,
     SiskinpassError,
 )
-from siskinpass.process.attempt import Attempt, CallerGoneError
+from siskinpass.process.attempt import Attempt, CallerDisconnectedError
 from siskinpass.process.dispatcher import Dispatcher
 from siskinpass.process.streams import StreamMonitor
 from siskinpass.request.answer import error_body, stream_head, whole_answer
@@ -69,14 +69,14 @@
     first_ms: float = 0
     token_ms: float = 0
 
-    def meets(self, class_settings: ClassSettings) -> bool:
+    def meets_targets(self, class_settings: ClassSettings) -> bool:
         """Tell whether the latency targets of a class were met."""
         in_time = self.first_ms <= class_settings.first_token_ms
         return in_time and self.token_ms <= class_settings.token_ms
 
 
 @dataclass(frozen=True, slots=True)
-class RunTools:
+class RunContext:
     """Hold what every run works with.
 
     :param tells_priority: whether engines are told the tier.
@@ -85,11 +85,11 @@
     name: str
     dispatcher: Dispatcher
     backends: BackendPool
-    watch: StreamMonitor
+    stream_monitor: StreamMonitor
     budget: RetryBudget
     note_retry: Callable[[Code], None]
     address_of: Callable[[str], str]
-    tells_priority: bool
+    sends_priority: bool
 
 
 class RequestRun:
@@ -97,7 +97,7 @@
 
     def __init__(
         self,
-        tools: RunTools,
+        tools: RunContext,
         call: Call,
         caller: CallerConnection,
         request_id: str,
@@ -120,7 +120,7 @@
         if not self._is_service:
             self._parser = TokenStreamParser(event_marker(request_id))
         self._keep_alive = False
-        self.started = False
+        self.stream_started = False
         self.ran = Ran.not_run
         self.outcome = RunOutcome(request_id)
 
@@ -138,7 +138,7 @@
 
         :raises RefusedError: where the request was given up on.
         :raises BackendError: where a backend server failed it for good.
-        :raises CallerGoneError: where the caller went away.
+        :raises CallerDisconnectedError: where the caller went away.
         """
         self._keep_alive = keep_alive
         self._caller.on_lost = self._lose_caller
@@ -155,7 +155,7 @@
                 return
         raise BackendError(Code.retry_budget_spent)
 
-    def write_late_error(self, error: SiskinpassError) -> None:
+    def write_error_event(self, error: SiskinpassError) -> None:
         """Tell of an error within a stream that has begun."""
         body = error_body(error.code, str(error), error.retry_after_ms)
         self._caller.write_chunk(b'event: error\ndata: %b\n\n' % body)
@@ -174,12 +174,12 @@
     def paused(self) -> None:
         """Make room for an upper tier."""
         if self._attempt is not None:
-            self._attempt.break_off(BackendError(Code.retry_paused))
+            self._attempt.abort(BackendError(Code.retry_paused))
 
     def moved(self) -> None:
         """Go on at another backend server."""
         if self._attempt is not None:
-            self._attempt.break_off(BackendError(Code.retry_backend_slow))
+            self._attempt.abort(BackendError(Code.retry_backend_slow))
 
     async def _try(self, ticket_id: str) -> None:
         pool = self._call.class_settings.pool
@@ -198,7 +198,7 @@
     async def _wait_for_slot(self, ticket_id: str) -> str:
         class_settings = self._call.class_settings
         if not self._caller.is_open:
-            raise CallerGoneError(Code.stream_cut)
+            raise CallerDisconnectedError(Code.stream_cut)
         ticket = Ticket(
             ticket_id=ticket_id,
             entry=self._tools.name,
@@ -219,7 +219,7 @@
         try:
             self._tools.dispatcher.ask(ticket, self)
             server = await self._slot
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self._tools.dispatcher.withdraw(class_settings.pool, ticket_id)
             raise
         finally:
@@ -237,7 +237,7 @@
         connection = await self._tools.backends.connect(address, fresh=fresh)
         if not self._caller.is_open:
             connection.cancel()
-            raise CallerGoneError(Code.stream_cut)
+            raise CallerDisconnectedError(Code.stream_cut)
         attempt = Attempt(
             self._call.class_settings.pool,
             server,
@@ -248,12 +248,12 @@
         # From here on the backend server may have run the request.
         self.ran = Ran.unknown
         attempt.start(connection, self._request(address))
-        self._tools.watch.add(attempt)
+        self._tools.stream_monitor.add(attempt)
         try:
             await attempt.finished
         finally:
             self._attempt = None
-            self._tools.watch.discard(attempt)
+            self._tools.stream_monitor.discard(attempt)
         self._check_whole(attempt)
 
     def _request(self, address: str) -> bytes:
@@ -261,7 +261,7 @@
         if self._is_service:
             return service_request(self._call, request_id, address)
         priority = 0
-        if self._tools.tells_priority:
+        if self._tools.sends_priority:
             priority = self._call.class_settings.tier
         return engine_request(
             self._call,
@@ -289,14 +289,14 @@
         self._kept_bytes += len(piece)
         if self._kept_bytes > ANSWER_BYTES_MOST:
             error = BackendError(Code.backend_error, 'the answer is too large')
-            self._attempt.break_off(error)
+            self._attempt.abort(error)
             return
         self._events.append(piece)
 
     def _start_stream(self) -> None:
-        if self.started:
+        if self.stream_started:
             return
-        self.started = True
+        self.stream_started = True
         headers = {
             'X-Request-Id': self.outcome.request_id,
             'X-Siskinpass-Ran': Ran.was_run.value,
@@ -380,11 +380,11 @@
             raise BackendError(Code.outcome_unknown, str(error)) from error
 
     def _lose_caller(self) -> None:
-        error = CallerGoneError(Code.stream_cut)
+        error = CallerDisconnectedError(Code.stream_cut)
         if self._slot is not None and not self._slot.done():
             self._slot.set_exception(error)
         if self._attempt is not None:
-            self._attempt.break_off(error)
+            self._attempt.abort(error)
 
     def _set_flow(self, *, on: bool) -> None:
         if self._attempt is not None:
--- a/src/siskinpass/process/status.py
+++ b/src/siskinpass/process/status.py
@@ -26,7 +26,7 @@
 )
 from siskinpass.process.counts import CountBook, Tally, merge
 from siskinpass.process.lease_keeper import LeaseKeeper
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.membership import Member
 from siskinpass.process.peers import PeerLinks
 from siskinpass.process.store import Store
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StatusParts:
+class StatusContext:
     """Hold what the status is made from.
 
     :param members: gives the live members.
@@ -62,24 +62,24 @@
     name: str
     store: Store
     links: PeerLinks
-    book: CurrentVersion
+    current_version: CurrentVersion
     counts: CountBook
     members: Callable[[], list[Member]]
 
 
-class StatusKeeper:
+class StatusAggregator:
     """Judge the promises while the lease is held."""
 
     def __init__(
         self,
-        parts: StatusParts,
+        parts: StatusContext,
         lease: LeaseKeeper,
     ) -> None:
         """Start with nothing judged."""
         self._own = parts.name
         self._store = parts.store
         self._links = parts.links
-        self._book = parts.book
+        self._book = parts.current_version
         self._counts = parts.counts
         self._members = parts.members
         self._lease = lease
@@ -92,7 +92,7 @@
         self._last = 0
         self._cursors: dict[str, int] = {}
         self._stored = b''
-        self._log = PartLog('status')
+        self._log = ComponentLog('status')
         self._read_at_s = 0.0
         self.document: dict[str, Any] = {'promises': {}, 'alarms': []}
 
@@ -119,7 +119,7 @@
         await self._write(fence)
 
     async def _collect(self, last: int) -> None:
-        own = encode_after(self._counts, self._seen(self._own), last)
+        own = encode_counts_after(self._counts, self._seen(self._own), last)
         self._merge(self._own, last, last, own)
         others = [
             member.name
@@ -249,7 +249,7 @@
             self.document = orjson.loads(stored.body)
 
 
-def encode_after(
+def encode_counts_after(
     counts: CountBook,
     second: int,
     last: int,
--- a/src/siskinpass/process/streams.py
+++ b/src/siskinpass/process/streams.py
@@ -34,7 +34,7 @@
     sent_s: float
     stalled_s: float
 
-    def break_off(self, error: BackendError) -> None:
+    def abort(self, error: BackendError) -> None:
         """Fail the attempt and stop the backend server's work on it."""
 
     def drop_caller(self) -> None:
@@ -174,4 +174,4 @@
         else:
             silent_s, timeout_s = now_s - attempt.sent_s, FIRST_TOKEN_TIMEOUT_S
         if silent_s > timeout_s:
-            attempt.break_off(BackendError(Code.stream_silent))
+            attempt.abort(BackendError(Code.stream_silent))
--- a/src/siskinpass/process/treewatch.py
+++ b/src/siskinpass/process/treewatch.py
@@ -11,7 +11,7 @@
 
 from siskinpass.exceptions import StoreError, TreeError
 from siskinpass.process import peer_pb2 as pb
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.membership import Member
 from siskinpass.process.peers import CALL_TIMEOUT_S, PeerLinks
 from siskinpass.process.rendezvous import rank
@@ -50,7 +50,7 @@
         self._members: tuple[Member, ...] = ()
         self._told = asyncio.Event()
         self._stored_version = 0
-        self._log = PartLog('tree')
+        self._log = ComponentLog('tree')
 
     @property
     def book(self) -> CurrentVersion:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -8,7 +8,7 @@
 import pytest
 
 from siskinpass.cli_explain import STATUS_UNKNOWN, explain
-from siskinpass.process.request_story import read_log, tell_story
+from siskinpass.process.request_timeline import build_timeline, read_log
 from tests.fleet import KEY, config, running_fleet, wait_until
 
 ASKED_FOR = 'the-one'
@@ -57,7 +57,9 @@
     async with running_fleet() as fleet:
         await fail(fleet)
         await asyncio.sleep(0.2)
-        return tell_story(tuple(read_log(fleet.log.splitlines())), ASKED_FOR)
+        return build_timeline(
+            tuple(read_log(fleet.log.splitlines())), ASKED_FOR
+        )
 
 
 class TestStories:
@@ -119,7 +121,7 @@
 
     def test_order_and_surroundings(self):
         """Lines come in order of time, with what happened around them."""
-        story = tell_story(tuple(read_log(LOG.splitlines())), 'a')
+        story = build_timeline(tuple(read_log(LOG.splitlines())), 'a')
         assert [line.split(' s ')[0].strip() for line in story[:2]] == [
             '+0.000',
             '+0.500',
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -40,7 +40,7 @@
         assert len(lines) - 1 + dropped == 1000
 
 
-class TestPartLog:
+class TestComponentLog:
     """Test ordinary lines under load."""
 
     def test_leaves_out_ordinary_lines_only(self, monkeypatch):
@@ -53,11 +53,11 @@
             lambda **fields: seen.append(fields),
         )
         monkeypatch.setattr(logs.time, 'monotonic', lambda: now[0])
-        part = logs.PartLog('part')
-        for _ in range(logs.OFTEN_MOST + 7):
+        part = logs.ComponentLog('part')
+        for _ in range(logs.MAX_ROUTINE_LINES + 7):
             part.often('Ordinary.')
         part.warn('A failure.')
-        assert len(seen) == logs.OFTEN_MOST + 1
+        assert len(seen) == logs.MAX_ROUTINE_LINES + 1
         now[0] += logs.PERIOD_S
         part.often('Ordinary.')
         told = [fields for fields in seen if 'lines' in fields]
