--- a/src/siskinpass/process/addresses.py
+++ b/src/siskinpass/process/addresses.py
@@ -6,9 +6,9 @@
 
 from siskinpass.process.membership import Member
 
-ADDRESSES_TOLD = 3
-NEAR_LEAST = 2
-NEAR_MOST = 64  # callers read no more of an answer
+MAX_ADDRESSES = 3
+MIN_NEAR = 2
+MAX_NEAR = 64  # callers read no more of an answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,30 +26,30 @@
     :param serving: members that are neither dead nor leaving.
     :param zone: availability zone of the caller, empty where unknown.
     """
-    found = [
+    candidates = [
         Address(member.name, member.caller_address, member.zone)
         for member in serving
         if member.caller_address
     ]
-    random.shuffle(found)
-    found.sort(key=lambda address: address.zone != zone)
-    return _spread(found)[:ADDRESSES_TOLD]
+    random.shuffle(candidates)
+    candidates.sort(key=lambda address: address.zone != zone)
+    return _spread_over_zones(candidates)[:MAX_ADDRESSES]
 
 
-def first_address(found: Iterable[Address]) -> str:
+def first_address(candidates: Iterable[Address]) -> str:
     """Return the best address, empty where there is none."""
-    return next((address.address for address in found), '')
+    return next((address.address for address in candidates), '')
 
 
-def _spread(found: list[Address]) -> list[Address]:
+def _spread_over_zones(candidates: list[Address]) -> list[Address]:
     """Put one instance of each zone before a second of any."""
     seen: dict[str, int] = {}
     ranks = []
-    for address in found:
+    for address in candidates:
         seen[address.zone] = seen.get(address.zone, 0) + 1
         ranks.append(seen[address.zone])
-    order = sorted(range(len(found)), key=ranks.__getitem__)
-    return [found[index] for index in order]
+    order = sorted(range(len(candidates)), key=ranks.__getitem__)
+    return [candidates[index] for index in order]
 
 
 def addresses_near(serving: Iterable[Member], zone: str) -> list[str]:
@@ -60,7 +60,7 @@
     :param serving: members that are neither dead nor leaving.
     :param zone: availability zone of the caller.
     """
-    found = [member for member in serving if member.caller_address]
-    near = [member for member in found if member.zone == zone]
-    used = near if len(near) >= NEAR_LEAST else found
-    return [member.caller_address for member in used[:NEAR_MOST]]
+    candidates = [member for member in serving if member.caller_address]
+    near = [member for member in candidates if member.zone == zone]
+    chosen = near if len(near) >= MIN_NEAR else candidates
+    return [member.caller_address for member in chosen[:MAX_NEAR]]
--- a/src/siskinpass/process/engines.py
+++ b/src/siskinpass/process/engines.py
@@ -16,8 +16,8 @@
 from siskinpass.request.ticket import ServerView
 from siskinpass.version.tree_version import CurrentVersion
 
-EVERY_S = 2.0
-TIMEOUT_S = 1.0
+INTERVAL_S = 2.0
+REPORT_TIMEOUT_S = 1.0
 ORDER_TIMEOUT_S = 30.0
 STATUS_OK = 200
 STATUS_CONFLICT = 409
@@ -38,33 +38,33 @@
         :param servers: gives the listed backend servers.
         """
         self._lease = lease
-        self._book = current_version
+        self._current_version = current_version
         self._servers = servers
         self._plans: dict[str, OrderPlan] = {}
         self._http = urllib3.PoolManager(maxsize=4, retries=False)
         self._loop = asyncio.get_running_loop()
         self._log = ComponentLog('engine')
-        self._open: set[asyncio.Task[None]] = set()
+        self._sending: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         """Compare and order for ever."""
         while True:
-            await asyncio.sleep(EVERY_S)
-            version = self._book.current
+            await asyncio.sleep(INTERVAL_S)
+            version = self._current_version.current
             if self._lease.fence is None or version is None:
                 self._plans.clear()
                 continue
             for name, pool in version.tree.root.pools.items():
                 if pool.kind == ENGINE:
-                    await self._keep_pool(name, frozenset(pool.models))
+                    await self._reconcile_pool(name, frozenset(pool.models))
 
-    async def _keep_pool(self, pool: str, wanted: frozenset[str]) -> None:
+    async def _reconcile_pool(self, pool: str, wanted: frozenset[str]) -> None:
         servers = {
             server.name: server.address
             for server in self._servers()
             if server.pool == pool and not server.leaving
         }
-        reports = await self._read_all(servers)
+        reports = await self._read_reports(servers)
         # The reports took a while; the lease may be gone by now.
         fence = self._lease.fence
         if fence is None:
@@ -74,18 +74,20 @@
         for order in orders:
             sending = self._send(order, servers[order.engine])
             task = self._loop.create_task(sending)
-            self._open.add(task)
-            task.add_done_callback(self._open.discard)
+            self._sending.add(task)
+            task.add_done_callback(self._sending.discard)
 
-    async def _read_all(self, servers: dict[str, str]) -> list[EngineReport]:
-        reading = [
-            asyncio.to_thread(self._read, name, address)
+    async def _read_reports(
+        self, servers: dict[str, str]
+    ) -> list[EngineReport]:
+        requests = [
+            asyncio.to_thread(self._read_report, name, address)
             for name, address in servers.items()
         ]
-        return await asyncio.gather(*reading)
+        return await asyncio.gather(*requests)
 
     async def _send(self, order: Order, address: str) -> None:
-        status = await asyncio.to_thread(self._post, order, address)
+        status = await asyncio.to_thread(self._post_order, order, address)
         self._log.note(
             'Gave an order.',
             engine=order.engine,
@@ -95,21 +97,21 @@
             fenced_off=status == STATUS_CONFLICT,
         )
 
-    def _read(self, name: str, address: str) -> EngineReport:
+    def _read_report(self, name: str, address: str) -> EngineReport:
         try:
             answer = self._http.request(
                 'GET',
                 f'http://{address}/load',
-                timeout=TIMEOUT_S,
+                timeout=REPORT_TIMEOUT_S,
             )
         except HTTPError:
             return EngineReport(name, None)
         if answer.status != STATUS_OK:
             return EngineReport(name, None)
-        told = orjson.loads(answer.data)
-        return EngineReport(name, frozenset(told.get('models', ())))
+        report = orjson.loads(answer.data)
+        return EngineReport(name, frozenset(report.get('models', ())))
 
-    def _post(self, order: Order, address: str) -> int:
+    def _post_order(self, order: Order, address: str) -> int:
         body = orjson.dumps({
             'models': list(order.models),
             'fence': order.fence,
--- a/src/siskinpass/process/frontend.py
+++ b/src/siskinpass/process/frontend.py
@@ -20,11 +20,11 @@
 from siskinpass.request.call import CHAT_PATH, SERVICE_PREFIX, TEXT_PATH
 from siskinpass.request.head import RequestHead
 
-ADDRESS_KEEP_S = 15
+ADDRESS_TTL_S = 15
 OPERATOR_THREADS = 2
-CONNECTIONS_MOST = 12_000
+MAX_CONNECTIONS = 12_000
 BACKLOG = 4096
-RELAYED = (CHAT_PATH, TEXT_PATH, SERVICE_PREFIX)
+RELAYED_PATHS = (CHAT_PATH, TEXT_PATH, SERVICE_PREFIX)
 
 
 class RequestServer(Protocol):
@@ -49,11 +49,11 @@
         self._loop = loop
         self._relay = relay
         self._connections: set[CallerConnection] = set()
-        callers = make_application(CallerPages(node, loop, ADDRESS_KEEP_S))
+        callers = make_application(CallerPages(node, loop, ADDRESS_TTL_S))
         operators = make_application(
             OperatorPages(node, loop, settings.operator_key),
         )
-        self._callers = ParsingServer(callers, settings.threads, RELAYED)
+        self._callers = ParsingServer(callers, settings.threads, RELAYED_PATHS)
         self._operators = ParsingServer(operators, OPERATOR_THREADS)
 
     @asynccontextmanager
@@ -94,9 +94,9 @@
         )
 
     def _accept(self, parser: ParsingServer) -> asyncio.Protocol:
-        if len(self._connections) >= CONNECTIONS_MOST:
-            return _Refuser()
-        return _CountedConnection(
+        if len(self._connections) >= MAX_CONNECTIONS:
+            return _RefusingProtocol()
+        return _TrackedConnection(
             self._connections,
             self._loop,
             parser.parse,
@@ -104,7 +104,7 @@
         )
 
 
-class _CountedConnection(CallerConnection):
+class _TrackedConnection(CallerConnection):
     """Stand in the set of open connections while open."""
 
     def __init__(
@@ -127,7 +127,7 @@
         super().connection_lost(exc)
 
 
-class _Refuser(asyncio.Protocol):
+class _RefusingProtocol(asyncio.Protocol):
     """Refuse a connection beyond the bound."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/src/siskinpass/process/logs.py
+++ b/src/siskinpass/process/logs.py
@@ -11,9 +11,9 @@
 # Lines of one part a second that tell of ordinary work; failures always count
 # as out of the ordinary. Three times the heaviest minute of the users' days.
 MAX_ROUTINE_LINES = 100
-PERIOD_S = 1.0
+RATE_PERIOD_S = 1.0
 # A reader that stalls costs lines, not memory: about a second of them.
-HELD_BYTES_MOST = 262_144
+MAX_BUFFERED_BYTES = 262_144
 
 
 class LineWriter:
@@ -27,29 +27,29 @@
         """Take a pipe over; it is set to never block."""
         self._descriptor = pipe.fileno()
         os.set_blocking(self._descriptor, False)  # noqa: FBT003
-        self._held: deque[bytes] = deque()
-        self._held_bytes = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self.dropped = 0
 
     def write(self, text: str | bytes) -> None:
         """Take in one line."""
         line = text.encode() if isinstance(text, str) else text
-        if self._held_bytes + len(line) > HELD_BYTES_MOST:
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._held.append(line)
-        self._held_bytes += len(line)
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
 
     def flush(self) -> None:
         """Write what the pipe takes now."""
-        while self._held:
-            line = self._held.popleft()
+        while self._buffer:
+            line = self._buffer.popleft()
             written = self._write(line)
-            self._held_bytes -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._held.appendleft(line[written:])
+                self._buffer.appendleft(line[written:])
                 return
-        self._tell_dropped()
+        self._report_dropped()
 
     def _write(self, line: bytes) -> int:
         try:
@@ -57,7 +57,7 @@
         except BlockingIOError:
             return 0
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         dropped, self.dropped = self.dropped, 0
         if dropped:
             self._write(
@@ -71,28 +71,28 @@
     :param part: fixed prefix, as ``relay`` or ``tree``.
     """
 
-    def __init__(self, part: str) -> None:
+    def __init__(self, component: str) -> None:
         """Keep the prefix."""
-        self._part = part
+        self._component = component
         self._period = 0
         self._lines = 0
-        self._left_out: Counter[str] = Counter()
+        self._suppressed: Counter[str] = Counter()
 
     def often(self, sentence: str, **fields: Any) -> None:
         """Log ordinary work, of which some is left out under load."""
-        period = int(time.monotonic() / PERIOD_S)
+        period = int(time.monotonic() / RATE_PERIOD_S)
         if period != self._period:
             self._start_period(period)
         self._lines += 1
         if self._lines > MAX_ROUTINE_LINES:
-            self._left_out[sentence] += 1
+            self._suppressed[sentence] += 1
         else:
             self.note(sentence, **fields)
 
     def note(self, sentence: str, **fields: Any) -> None:
         """Log one short sentence."""
         eliot.log_message(
-            message_type=f'{self._part}:note',
+            message_type=f'{self._component}:note',
             text=sentence,
             **fields,
         )
@@ -100,16 +100,16 @@
     def warn(self, sentence: str, **fields: Any) -> None:
         """Log one short sentence that an operator should see."""
         eliot.log_message(
-            message_type=f'{self._part}:warning',
+            message_type=f'{self._component}:warning',
             text=sentence,
             **fields,
         )
 
     def _start_period(self, period: int) -> None:
-        left_out, self._left_out = self._left_out, Counter()
+        suppressed, self._suppressed = self._suppressed, Counter()
         self._period = period
         self._lines = 0
-        for sentence, lines in left_out.items():
+        for sentence, lines in suppressed.items():
             self.note('Lines were left out.', kind=sentence, lines=lines)
 
 
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -59,8 +59,8 @@
 from siskinpass.version.schema import Pool
 from siskinpass.version.tree_version import TreeVersion
 
-RECHECK_EVERY_S = 0.5
-LEAVING_NOTICE_S = 1.0
+RECHECK_INTERVAL_S = 0.5
+LEAVE_DELAY_S = 1.0
 NS_PER_MS = 1_000_000
 
 
@@ -86,10 +86,10 @@
                 kind,
             ),
         )
-        self._make_agreement()
-        self._make_relay()
+        self._create_cluster_parts()
+        self._create_relay_parts()
 
-    def _make_agreement(self) -> None:
+    def _create_cluster_parts(self) -> None:
         """Make the parts that act together with other instances."""
         settings = self._settings
         peers_host = settings.peers.rsplit(':', 1)[0]
@@ -109,16 +109,16 @@
         self.gossip = Gossip(
             membership,
             settings.peer_key,
-            self._take_members,
+            self._on_members,
         )
-        self._repository = TreeRepository(self._store, _stamp)
+        self._repository = TreeRepository(self._store, _timestamp)
         self.tree_watch = TreeWatch(
             settings.name,
             self._repository,
             self._links,
-            self._take_version,
+            self._on_version,
         )
-        self.host = BrokerHost(self._loop, self._policy_of)
+        self.host = BrokerHost(self._loop, self._policy_for)
         self.dispatcher = Dispatcher(
             settings.name,
             self.host,
@@ -127,7 +127,7 @@
         )
         self.dispatcher.alone = settings.decisions != SHARED
 
-    def _make_relay(self) -> None:
+    def _create_relay_parts(self) -> None:
         """Make the parts that answer callers."""
         settings = self._settings
         self._counts = CountBook()
@@ -171,7 +171,7 @@
             self.tree_watch.book,
             lambda: self._listing.servers,
         )
-        self._front = Frontend(settings, self, self.relay)
+        self._frontend = Frontend(settings, self, self.relay)
 
     async def run(self) -> None:
         """Serve until told to leave and the last request is answered."""
@@ -195,8 +195,8 @@
             return
         self._leaving = True
         self._log.note('Leaving.')
-        self._tell_self()
-        self._leave_task = self._loop.create_task(self._finish())
+        self._announce_self()
+        self._leave_task = self._loop.create_task(self._finish_drain())
 
     def addresses(self, zone: str) -> list[Address]:
         """Return instances to use, the best first."""
@@ -308,13 +308,13 @@
                 self._lease.run(),
                 self._status.run(),
                 self._engines.run(),
-                follow_list(settings.platform, self._take_listing),
-                self._recheck(),
+                follow_list(settings.platform, self._on_listing),
+                self._recheck_brokers(),
                 self._claims.run_collection(self._lease),
             )
         ]
         try:
-            async with self._front.listening():
+            async with self._frontend.listening():
                 self._log.note('Serving.', callers=settings.callers)
                 yield tasks
         finally:
@@ -327,21 +327,21 @@
         self._links.close()
         self._store.close()
 
-    async def _finish(self) -> None:
-        await asyncio.sleep(LEAVING_NOTICE_S)
+    async def _finish_drain(self) -> None:
+        await asyncio.sleep(LEAVE_DELAY_S)
         self.relay.leaving = True
         await self.relay.drain()
-        await asyncio.sleep(LEAVING_NOTICE_S)
+        await asyncio.sleep(LEAVE_DELAY_S)
         await self.relay.drain()
         self._log.note('Left.')
         self.stopped.set()
 
-    async def _recheck(self) -> None:
+    async def _recheck_brokers(self) -> None:
         while True:
-            await asyncio.sleep(RECHECK_EVERY_S)
+            await asyncio.sleep(RECHECK_INTERVAL_S)
             self.dispatcher.recheck()
 
-    def _take_listing(self, listing: Listing) -> None:
+    def _on_listing(self, listing: Listing) -> None:
         self._listing = listing
         seeds = [
             Member(entry.name, entry.peer_address, entry.caller_address)
@@ -358,7 +358,7 @@
             server.name: server.address for server in listing.servers
         }
 
-    def _take_members(self) -> None:
+    def _on_members(self) -> None:
         membership = self.gossip.membership
         live = membership.live
         self._links.take_addresses(
@@ -371,10 +371,10 @@
             self.host.lose_entry(gone)
         self.dispatcher.take_instances(names)
 
-    def _take_version(self, version: TreeVersion) -> None:
-        self._tell_self()
+    def _on_version(self, version: TreeVersion) -> None:
+        self._announce_self()
 
-    def _tell_self(self) -> None:
+    def _announce_self(self) -> None:
         self.gossip.tell_self(
             leaving=self._leaving,
             tree_version=self.tree_watch.book.number,
@@ -383,7 +383,7 @@
     def _address_of(self, server: str) -> str:
         return self._addresses.get(server, '')
 
-    def _policy_of(self, group: str) -> BrokerPolicy:
+    def _policy_for(self, group: str) -> BrokerPolicy:
         version = self.tree_watch.book.current
         pool = Pool()
         if version is not None:
@@ -395,5 +395,5 @@
         return broker_policy(self._settings.decisions, pool, instance_count)
 
 
-def _stamp() -> str:
+def _timestamp() -> str:
     return datetime.now(UTC).isoformat(timespec='seconds')
--- a/src/siskinpass/process/overview.py
+++ b/src/siskinpass/process/overview.py
@@ -18,10 +18,10 @@
 
     :param number: version in force at the instance that is asked.
     """
-    known = tuple(members)
+    known_members = tuple(members)
     behind = [
         member.name
-        for member in known
+        for member in known_members
         if member.tree_version < number and member.state != DEAD
     ]
     return {
@@ -34,17 +34,19 @@
                 'zone': member.zone,
                 'version': member.tree_version,
             }
-            for member in known
+            for member in known_members
         },
     }
 
 
 def describe_brokers(brokers: Mapping[str, Broker]) -> dict[str, Any]:
     """Tell what the brokers of an instance decide on."""
-    return {group: _broker(broker) for group, broker in brokers.items()}
+    return {
+        group: _describe_broker(broker) for group, broker in brokers.items()
+    }
 
 
-def _broker(broker: Broker) -> dict[str, Any]:
+def _describe_broker(broker: Broker) -> dict[str, Any]:
     return {
         'waiting': broker.waiting,
         'running': broker.running,
--- a/src/siskinpass/process/pages.py
+++ b/src/siskinpass/process/pages.py
@@ -21,7 +21,7 @@
 from siskinpass.version.edit import ConflictError, diff
 from siskinpass.version.repository import Edit, Proposal, make_version
 
-ANSWER_TIMEOUT_S = 15.0
+LOOP_TIMEOUT_S = 15.0
 OPERATOR_HEADER = 'X-Siskinpass-Operator-Key'
 STATUS_UNREADY = 503
 JSON = 'application/json'
@@ -61,16 +61,16 @@
         """Begin to leave."""
 
 
-class _Pages:
+class _BasePages:
     """Share what both sides need."""
 
     def __init__(self, node: Node, loop: asyncio.AbstractEventLoop) -> None:
         self._node = node
         self._loop = loop
 
-    def _ask(self, question: Coroutine[Any, Any, Any]) -> Any:
-        asked = asyncio.run_coroutine_threadsafe(question, self._loop)
-        return asked.result(ANSWER_TIMEOUT_S)
+    def _run_on_loop(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
+        future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
+        return future.result(LOOP_TIMEOUT_S)
 
     @cherrypy.expose
     def healthz(self) -> bytes:
@@ -86,7 +86,7 @@
         return _error(SiskinpassError(reason))
 
 
-class CallerPages(_Pages):
+class CallerPages(_BasePages):
     """Answer callers for all but the relayed paths."""
 
     def __init__(
@@ -103,7 +103,7 @@
     @cherrypy.expose
     def address(self, zone: str = '') -> bytes:
         """Tell a caller which instances to use, and for how long."""
-        addresses = [asdict(found) for found in self._node.addresses(zone)]
+        addresses = [asdict(entry) for entry in self._node.addresses(zone)]
         return _json({'addresses': addresses, 'keep_s': self._keep_s})
 
     @cherrypy.expose
@@ -121,7 +121,7 @@
     @cherrypy.expose
     def models(self) -> bytes:
         """List the models."""
-        listed = [
+        entries = [
             {
                 'id': model,
                 'object': 'model',
@@ -130,10 +130,10 @@
             }
             for model in self._node.models()
         ]
-        return _json({'object': 'list', 'data': listed})
+        return _json({'object': 'list', 'data': entries})
 
 
-class OperatorPages(_Pages):
+class OperatorPages(_BasePages):
     """Answer operators, who show their key on every call."""
 
     def __init__(
@@ -149,29 +149,33 @@
     @cherrypy.expose
     def tree(self, *path: str, **query: str) -> bytes:
         """Read the tree, or propose another with PUT."""
-        return self._guard(lambda: self._tree(path))
+        return self._with_key(lambda: self._tree(path))
 
     @cherrypy.expose
     def history(self) -> bytes:
         """Tell the latest edits."""
-        return self._guard(
-            lambda: [asdict(edit) for edit in self._ask(self._node.history())],
+        return self._with_key(
+            lambda: [
+                asdict(edit) for edit in self._run_on_loop(self._node.history())
+            ],
         )
 
     @cherrypy.expose
     def diff(self, old: str = '0', new: str = '0') -> bytes:
         """Tell what changed from one version to another."""
-        return self._guard(lambda: self._diff(_whole(old), _whole(new)))
+        return self._with_key(
+            lambda: self._diff(_parse_version(old), _parse_version(new))
+        )
 
     @cherrypy.expose
     def status(self) -> bytes:
         """Tell what holds."""
-        return self._guard(self._node.status)
+        return self._with_key(self._node.status)
 
     @cherrypy.expose
     def drain(self) -> bytes:
         """Begin to leave, as a termination signal does."""
-        return self._guard(self._drain)
+        return self._with_key(self._drain)
 
     @cherrypy.expose
     def metrics(self) -> bytes:
@@ -184,9 +188,9 @@
         """Answer for any other path."""
         return _error(SiskinpassError(Code.unknown_path))
 
-    def _guard(self, answer: Callable[[], Any]) -> bytes:
-        told = cherrypy.request.headers.get(OPERATOR_HEADER, '')
-        if not hmac.compare_digest(told.encode(), self._key.encode()):
+    def _with_key(self, answer: Callable[[], Any]) -> bytes:
+        given_key = cherrypy.request.headers.get(OPERATOR_HEADER, '')
+        if not hmac.compare_digest(given_key.encode(), self._key.encode()):
             return _error(SiskinpassError(Code.operator_key_wrong))
         try:
             return _json(answer())
@@ -199,37 +203,37 @@
         if cherrypy.request.method == 'PUT':
             return {'version': self._propose(cherrypy.request.body.read())}
         if path:
-            number = _whole(path[0])
+            number = _parse_version(path[0])
             return {
                 'version': number,
-                'tree': self._ask(self._node.tree_at(number)),
+                'tree': self._run_on_loop(self._node.tree_at(number)),
             }
         number, tree = self._node.tree()
         return {'version': number, 'tree': tree}
 
     def _propose(self, body: bytes) -> int:
         try:
-            asked = orjson.loads(body)
-            text = asked['tree']
-            base = int(asked['base'])
+            future = orjson.loads(body)
+            text = future['tree']
+            base = int(future['base'])
         except (KeyError, TypeError, ValueError) as why:
             raise TreeError(Code.tree_invalid, 'no tree and base') from why
-        tree = _checked_mapping(text)
+        tree = _validated_mapping(text)
         proposal = Proposal(
             base,
             tree,
-            str(asked.get('author', '')),
-            str(asked.get('message', '')),
+            str(future.get('author', '')),
+            str(future.get('message', '')),
         )
-        return self._ask(self._node.propose(proposal))
+        return self._run_on_loop(self._node.propose(proposal))
 
     def _diff(self, old: int, new: int) -> list[dict[str, Any]]:
-        before = self._ask(self._node.tree_at(old))
-        after = self._ask(self._node.tree_at(new))
+        before = self._run_on_loop(self._node.tree_at(old))
+        after = self._run_on_loop(self._node.tree_at(new))
         return [asdict(change) for change in diff(before, after)]
 
     def _drain(self) -> dict[str, bool]:
-        self._ask(self._node.drain())
+        self._run_on_loop(self._node.drain())
         return {'leaving': True}
 
 
@@ -248,7 +252,7 @@
     return application
 
 
-def _checked_mapping(text: str | Mapping[str, Any]) -> dict[str, Any]:
+def _validated_mapping(text: str | Mapping[str, Any]) -> dict[str, Any]:
     """Check a tree given as YAML or as mappings; return it as mappings."""
     if isinstance(text, str):
         # Parsing the operator's own text keeps the line numbers of faults.
@@ -256,7 +260,7 @@
     return tree_mapping(make_version(0, text).tree)
 
 
-def _whole(text: str) -> int:
+def _parse_version(text: str) -> int:
     if not text.isdigit():
         raise TreeError(Code.unknown_version, f'not a version: {text}')
     return int(text)
--- a/src/siskinpass/process/relay.py
+++ b/src/siskinpass/process/relay.py
@@ -54,22 +54,22 @@
 class Relay:
     """Start a task for each request and bring it to its one answer."""
 
-    def __init__(self, parts: RelayContext) -> None:
+    def __init__(self, context: RelayContext) -> None:
         """Keep the parts."""
-        self._parts = parts
+        self._context = context
         self._loop = asyncio.get_running_loop()
         self._numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
         self._log = ComponentLog('relay')
-        self._tools = RunContext(
-            parts.name,
-            parts.dispatcher,
-            parts.backends,
-            parts.stream_monitor,
+        self._run_context = RunContext(
+            context.name,
+            context.dispatcher,
+            context.backends,
+            context.stream_monitor,
             RetryBudget(),
-            parts.metrics.retried,
-            parts.address_of,
-            parts.sends_priority,
+            context.metrics.retried,
+            context.address_of,
+            context.sends_priority,
         )
         self.leaving = False
 
@@ -81,8 +81,8 @@
     def serve(self, caller: CallerConnection, head: RequestHead) -> None:
         """Start to answer a request."""
         task = self._loop.create_task(self._serve(caller, head))
-        self._keep_task(task)
-        task.add_done_callback(lambda done: self._check_end(done, caller))
+        self._track_task(task)
+        task.add_done_callback(lambda done: self._on_task_done(done, caller))
 
     async def drain(self) -> None:
         """Wait until every request is answered."""
@@ -96,7 +96,7 @@
     ) -> None:
         arrived_s = self._loop.time()
         try:
-            call = await self._check(caller, head)
+            call = await self._parse(caller, head)
         except SiskinpassError as error:
             self._answer_error(caller, error, MEANINGS[error.code].ran)
             return
@@ -104,7 +104,7 @@
         outcome = await self._answer(caller, head, call, request_id, arrived_s)
         self._count(call, outcome, arrived_s)
 
-    async def _check(
+    async def _parse(
         self,
         caller: CallerConnection,
         head: RequestHead,
@@ -117,9 +117,9 @@
                 Code.instance_leaving,
                 '',
                 LEAVING_RETRY_MS,
-                self._parts.other_address(),
+                self._context.other_address(),
             )
-        version = self._parts.current_version.current
+        version = self._context.current_version.current
         if version is None:
             raise RefusedError(Code.no_tree_in_force, '', MS_PER_S)
         return parse_call(head, body, version)
@@ -132,7 +132,7 @@
         request_id: str,
         arrived_s: float,
     ) -> RunOutcome:
-        run = RequestRun(self._tools, call, caller, request_id, arrived_s)
+        run = RequestRun(self._run_context, call, caller, request_id, arrived_s)
         claim = None
         try:
             claim = await self._claim(caller, head, call)
@@ -140,14 +140,14 @@
                 return RunOutcome(request_id)
             await run.answer(keep_alive=head.keep_alive)
         except CallerDisconnectedError as error:
-            run.outcome.gone = True
+            run.outcome.caller_gone = True
             caller.abort()
             self._settle(claim, call, run, error)
             return run.outcome
         except SiskinpassError as error:
             run.outcome.code = error.code
             self._settle(claim, call, run, error)
-            self._end_with_error(caller, run, error)
+            self._finish_with_error(caller, run, error)
             return run.outcome
         self._settle(claim, call, run, None)
         caller.finish(keep_alive=head.keep_alive and not self.leaving)
@@ -161,7 +161,7 @@
     ) -> HeldClaim | Replay | None:
         if call.repeatable or not call.idempotency_key:
             return None
-        claim = await self._parts.claims.make(call)
+        claim = await self._context.claims.make(call)
         if isinstance(claim, Replay):
             wire = whole_answer(
                 claim.status,
@@ -188,19 +188,19 @@
             state = ClaimState.not_run
         else:
             state = ClaimState.unknown
-        settling = self._parts.claims.settle(
+        settling = self._context.claims.settle(
             claim,
             state,
             run.outcome.status,
             run.outcome.body,
         )
-        self._keep_task(self._loop.create_task(settling))
+        self._track_task(self._loop.create_task(settling))
 
-    def _keep_task(self, task: asyncio.Task[None]) -> None:
+    def _track_task(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _check_end(
+    def _on_task_done(
         self,
         done: asyncio.Task[None],
         caller: CallerConnection,
@@ -210,7 +210,7 @@
             self._log.warn('A request failed.', why=repr(done.exception()))
             caller.abort()
 
-    def _end_with_error(
+    def _finish_with_error(
         self,
         caller: CallerConnection,
         run: RequestRun,
@@ -219,7 +219,7 @@
         if run.stream_started:
             # A stream that has begun can only be cut, so that it is not
             # taken for whole.
-            self._parts.metrics.refused(error.code)
+            self._context.metrics.refused(error.code)
             run.write_error_event(error)
             caller.abort_after_write()
             return
@@ -231,7 +231,7 @@
         error: SiskinpassError,
         ran: Ran,
     ) -> None:
-        self._parts.metrics.refused(error.code)
+        self._context.metrics.refused(error.code)
         wire = error_answer(
             error.code,
             str(error),
@@ -243,13 +243,13 @@
         caller.finish(keep_alive=False)
 
     def _count(self, call: Call, outcome: RunOutcome, arrived_s: float) -> None:
-        if outcome.gone:
+        if outcome.caller_gone:
             return
         if outcome.code is None:
-            self._parts.metrics.answered(call.node, outcome.tokens)
+            self._context.metrics.answered(call.node, outcome.tokens)
         class_settings = call.class_settings
         met = outcome.code is None and outcome.meets_targets(class_settings)
-        self._parts.counts.note(
+        self._context.counts.note(
             Outcome(
                 call.node,
                 met,
@@ -261,6 +261,6 @@
         )
 
     def _next_id(self) -> str:
-        parts = self._parts
+        context = self._context
         number = next(self._numbers)
-        return f'{parts.name}-{parts.incarnation}-{number}'
+        return f'{context.name}-{context.incarnation}-{number}'
--- a/src/siskinpass/process/request_timeline.py
+++ b/src/siskinpass/process/request_timeline.py
@@ -11,7 +11,7 @@
 
 # What happened at a server or at an instance this long before or after a
 # request's own lines may have to do with them.
-AROUND_S = 2.0
+CONTEXT_S = 2.0
 # Fields of every line, which say nothing of one request.
 COMMON_FIELDS = frozenset(
     (
@@ -24,8 +24,8 @@
         'call',
     ),
 )
-SERVER_PARTS = frozenset(('state',))
-INSTANCE_PARTS = frozenset(('state', 'store', 'node'))
+SERVER_COMPONENTS = frozenset(('state',))
+INSTANCE_COMPONENTS = frozenset(('state', 'store', 'node'))
 # What the writers of the logs say where a request failed.
 ATTEMPT_FAILED = 'An attempt failed.'
 STREAM_CUT = 'A stream was cut.'
@@ -45,7 +45,7 @@
 
     at_s: float
     instance: str
-    part: str
+    component: str
     text: str
     fields: dict[str, Any] = field(default_factory=dict)
 
@@ -70,16 +70,16 @@
     for line in lines:
         start = line.find(b'{')
         try:
-            told = orjson.loads(line[start:]) if start >= 0 else None
+            record = orjson.loads(line[start:]) if start >= 0 else None
         except orjson.JSONDecodeError:
             continue
-        if isinstance(told, dict) and 'timestamp' in told:
+        if isinstance(record, dict) and 'timestamp' in record:
             yield LogLine(
-                at_s=float(told['timestamp']),
-                instance=str(told.get('instance', '')),
-                part=str(told.get('message_type', '')).partition(':')[0],
-                text=str(told.get('text', '')),
-                fields=told,
+                at_s=float(record['timestamp']),
+                instance=str(record.get('instance', '')),
+                component=str(record.get('message_type', '')).partition(':')[0],
+                text=str(record.get('text', '')),
+                fields=record,
             )
 
 
@@ -97,30 +97,33 @@
     )
     if not own:
         return []
-    began_s = own[0].at_s
-    told = [_format(line, began_s) for line in own]
-    around = [line for line in log if _is_around(line, own)]
-    around.sort(key=lambda line: line.at_s)
-    if around:
-        told.append('Around it:')
-        told.extend(_format(line, began_s) for line in around)
-    told.extend(_tell_others(log, own))
-    return told
-
-
-def _is_around(line: LogLine, own: Sequence[LogLine]) -> bool:
+    start_s = own[0].at_s
+    record = [_format_line(line, start_s) for line in own]
+    context = [line for line in log if _is_context(line, own)]
+    context.sort(key=lambda line: line.at_s)
+    if context:
+        record.append('Around it:')
+        record.extend(_format_line(line, start_s) for line in context)
+    record.extend(_count_others(log, own))
+    return record
+
+
+def _is_context(line: LogLine, own: Sequence[LogLine]) -> bool:
     if line.call:
         return False
     first, last = own[0], own[-1]
-    if not first.at_s - AROUND_S <= line.at_s <= last.at_s + AROUND_S:
+    if not first.at_s - CONTEXT_S <= line.at_s <= last.at_s + CONTEXT_S:
         return False
     if line.server:
         servers = {other.server for other in own}
-        return line.part in SERVER_PARTS and line.server in servers
-    return line.part in INSTANCE_PARTS and line.instance == first.instance
+        return line.component in SERVER_COMPONENTS and line.server in servers
+    return (
+        line.component in INSTANCE_COMPONENTS
+        and line.instance == first.instance
+    )
 
 
-def _tell_others(log: Sequence[LogLine], own: Sequence[LogLine]) -> list[str]:
+def _count_others(log: Sequence[LogLine], own: Sequence[LogLine]) -> list[str]:
     """Count the other requests that failed at the same servers."""
     failures = {line.server: line.at_s for line in own if line.is_failure}
     others: defaultdict[str, set[str]] = defaultdict(set)
@@ -128,22 +131,24 @@
         failed_s = failures.get(line.server)
         if failed_s is None or not line.server or not line.is_failure:
             continue
-        if line.call != own[0].call and abs(line.at_s - failed_s) <= AROUND_S:
+        if line.call != own[0].call and abs(line.at_s - failed_s) <= CONTEXT_S:
             others[line.server].add(line.call)
     return [
-        f'Within {AROUND_S:.0f} s at {server}: {len(calls)} others failed'
+        f'Within {CONTEXT_S:.0f} s at {server}: {len(calls)} others failed'
         for server, calls in others.items()
     ]
 
 
-def _format(line: LogLine, began_s: float) -> str:
+def _format_line(line: LogLine, start_s: float) -> str:
     fields = ' '.join(
         f'{name}={text}'
         for name, text in line.fields.items()
         if name not in COMMON_FIELDS and text != ''
     )
-    told = f'{line.at_s - began_s:+8.3f} s {line.instance} {line.text} {fields}'
-    return f'{told.rstrip()}{_meaning(line)}'
+    record = (
+        f'{line.at_s - start_s:+8.3f} s {line.instance} {line.text} {fields}'
+    )
+    return f'{record.rstrip()}{_meaning(line)}'
 
 
 def _meaning(line: LogLine) -> str:
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -32,13 +32,13 @@
 from siskinpass.version.schema import ClassSettings
 
 MS_PER_S = 1000
-ATTEMPTS_MOST = 16
-PAUSES_MOST = 3
+MAX_ATTEMPTS = 16
+MAX_PAUSES = 3
 BACKEND_RETRY_MS = 500
-ANSWER_BYTES_MOST = 8_388_608
+MAX_ANSWER_BYTES = 8_388_608
 
 # Attempts that end for these reasons are not the backend server's fault.
-UNCHARGED = frozenset((Code.retry_paused, Code.retry_backend_slow))
+NOT_SERVER_FAULTS = frozenset((Code.retry_paused, Code.retry_backend_slow))
 RETRY_REASONS = MappingProxyType({
     Code.backend_unreachable: Code.retry_connect_failed,
     Code.stream_cut: Code.retry_stream_cut,
@@ -61,7 +61,7 @@
 
     request_id: str
     code: Code | None = None
-    gone: bool = False
+    caller_gone: bool = False
     status: int = 0
     body: bytes = b''
     tokens: int = 0
@@ -97,14 +97,14 @@
 
     def __init__(
         self,
-        tools: RunContext,
+        context: RunContext,
         call: Call,
         caller: CallerConnection,
         request_id: str,
         arrived_s: float,
     ) -> None:
         """Start before the first attempt."""
-        self._tools = tools
+        self._context = context
         self._call = call
         self._caller = caller
         self._arrived_s = arrived_s
@@ -112,9 +112,9 @@
         self._attempt: Attempt | None = None
         self._slot: asyncio.Future[str] | None = None
         self._avoid = ''
-        self._pauses = 0
+        self._pause_count = 0
         self._events: list[bytes] = []
-        self._kept_bytes = 0
+        self._buffered_bytes = 0
         self._is_service = bool(call.service_path)
         self._parser = None
         if not self._is_service:
@@ -131,7 +131,7 @@
     @property
     def _is_pausable(self) -> bool:
         may_repeat = self._call.repeatable and not self._is_service
-        return may_repeat and self._pauses < PAUSES_MOST
+        return may_repeat and self._pause_count < MAX_PAUSES
 
     async def answer(self, *, keep_alive: bool) -> None:
         """Answer the caller wholly.
@@ -141,13 +141,15 @@
         :raises CallerDisconnectedError: where the caller went away.
         """
         self._keep_alive = keep_alive
-        self._caller.on_lost = self._lose_caller
+        self._caller.on_lost = self._on_caller_lost
         self._caller.on_flow = self._set_flow
         class_settings = self._call.class_settings
-        self._tools.budget.earn(self._call.node, class_settings.retry_fraction)
-        for number in range(ATTEMPTS_MOST):
+        self._context.budget.earn(
+            self._call.node, class_settings.retry_fraction
+        )
+        for number in range(MAX_ATTEMPTS):
             try:
-                await self._try(f'{self.outcome.request_id}.{number}')
+                await self._run_attempt(f'{self.outcome.request_id}.{number}')
             except BackendError as error:
                 self._prepare_retry(error)
             else:
@@ -181,16 +183,16 @@
         if self._attempt is not None:
             self._attempt.abort(BackendError(Code.retry_backend_slow))
 
-    async def _try(self, ticket_id: str) -> None:
+    async def _run_attempt(self, ticket_id: str) -> None:
         pool = self._call.class_settings.pool
-        dispatcher = self._tools.dispatcher
+        dispatcher = self._context.dispatcher
         server = await self._wait_for_slot(ticket_id)
         failed = True
         try:
             await self._run_on(server)
             failed = False
         except BackendError as error:
-            failed = error.code not in UNCHARGED
+            failed = error.code not in NOT_SERVER_FAULTS
             raise
         finally:
             dispatcher.release(pool, ticket_id, failed=failed)
@@ -201,7 +203,7 @@
             raise CallerDisconnectedError(Code.stream_cut)
         ticket = Ticket(
             ticket_id=ticket_id,
-            entry=self._tools.name,
+            entry=self._context.name,
             pool=class_settings.pool,
             node=self._call.node,
             tier=class_settings.tier,
@@ -211,16 +213,16 @@
             share=class_settings.share,
             prefix=self._call.prefix,
             pausable=self._is_pausable,
-            resumed=self._has_tokens or self._pauses > 0,
+            resumed=self._has_tokens or self._pause_count > 0,
             avoid=self._avoid,
             token_s=class_settings.token_ms / MS_PER_S,
         )
         self._slot = self._loop.create_future()
         try:
-            self._tools.dispatcher.ask(ticket, self)
+            self._context.dispatcher.ask(ticket, self)
             server = await self._slot
         except CallerDisconnectedError:
-            self._tools.dispatcher.withdraw(class_settings.pool, ticket_id)
+            self._context.dispatcher.withdraw(class_settings.pool, ticket_id)
             raise
         finally:
             self._slot = None
@@ -229,12 +231,14 @@
         return server
 
     async def _run_on(self, server: str) -> None:
-        address = self._tools.address_of(server)
+        address = self._context.address_of(server)
         self._avoid = server
         if not address:
             raise ConnectError(Code.backend_unreachable, f'no {server}')
-        fresh = not self._call.repeatable
-        connection = await self._tools.backends.connect(address, fresh=fresh)
+        is_fresh = not self._call.repeatable
+        connection = await self._context.backends.connect(
+            address, is_fresh=is_fresh
+        )
         if not self._caller.is_open:
             connection.cancel()
             raise CallerDisconnectedError(Code.stream_cut)
@@ -248,20 +252,20 @@
         # From here on the backend server may have run the request.
         self.ran = Ran.unknown
         attempt.start(connection, self._request(address))
-        self._tools.stream_monitor.add(attempt)
+        self._context.stream_monitor.add(attempt)
         try:
             await attempt.finished
         finally:
             self._attempt = None
-            self._tools.stream_monitor.discard(attempt)
-        self._check_whole(attempt)
+            self._context.stream_monitor.discard(attempt)
+        self._check_answer(attempt)
 
     def _request(self, address: str) -> bytes:
         request_id = self.outcome.request_id
         if self._is_service:
             return service_request(self._call, request_id, address)
         priority = 0
-        if self._tools.sends_priority:
+        if self._context.sends_priority:
             priority = self._call.class_settings.tier
         return engine_request(
             self._call,
@@ -270,7 +274,7 @@
             EngineTerms(priority, self._parser.tokens),
         )
 
-    def _check_whole(self, attempt: Attempt) -> None:
+    def _check_answer(self, attempt: Attempt) -> None:
         if self._is_service:
             told = attempt.headers.get('x-request-id')
             if told != self.outcome.request_id:
@@ -286,8 +290,8 @@
             self._start_stream()
             self._caller.write_chunk(piece)
             return
-        self._kept_bytes += len(piece)
-        if self._kept_bytes > ANSWER_BYTES_MOST:
+        self._buffered_bytes += len(piece)
+        if self._buffered_bytes > MAX_ANSWER_BYTES:
             error = BackendError(Code.backend_error, 'the answer is too large')
             self._attempt.abort(error)
             return
@@ -306,7 +310,7 @@
         )
 
     def _finish(self) -> None:
-        self._note_tokens()
+        self._record_tokens()
         if self._call.stream and not self._is_service:
             self._start_stream()
             self._caller.write(CHUNKS_END)
@@ -332,7 +336,7 @@
             ),
         )
 
-    def _note_tokens(self) -> None:
+    def _record_tokens(self) -> None:
         if self._parser is None:
             return
         self.outcome.tokens = self._parser.tokens
@@ -348,17 +352,17 @@
         if self._is_service:
             self._events.clear()
         self._check_may_retry(error)
-        if error.code in UNCHARGED:
-            self._pauses += 1
-        elif self._is_charged(error) and not self._spend_retry():
+        if error.code in NOT_SERVER_FAULTS:
+            self._pause_count += 1
+        elif self._uses_retry_budget(error) and not self._spend_retry():
             raise BackendError(
                 Code.retry_budget_spent,
                 str(error),
                 BACKEND_RETRY_MS,
             ) from error
-        self._tools.note_retry(RETRY_REASONS.get(error.code, error.code))
+        self._context.note_retry(RETRY_REASONS.get(error.code, error.code))
 
-    def _is_charged(self, error: BackendError) -> bool:
+    def _uses_retry_budget(self, error: BackendError) -> bool:
         """Tell whether an attempt comes out of the retry budget.
 
         A stream that has begun must be brought to its end, and a connection
@@ -367,7 +371,7 @@
         return not (self._has_tokens or isinstance(error, ConnectError))
 
     def _spend_retry(self) -> bool:
-        return self._tools.budget.spend(self._call.node)
+        return self._context.budget.spend(self._call.node)
 
     def _check_may_retry(self, error: BackendError) -> None:
         if isinstance(error, ConnectError):
@@ -379,7 +383,7 @@
         if not self._call.repeatable:
             raise BackendError(Code.outcome_unknown, str(error)) from error
 
-    def _lose_caller(self) -> None:
+    def _on_caller_lost(self) -> None:
         error = CallerDisconnectedError(Code.stream_cut)
         if self._slot is not None and not self._slot.done():
             self._slot.set_exception(error)
--- a/src/siskinpass/process/settings.py
+++ b/src/siskinpass/process/settings.py
@@ -14,8 +14,8 @@
 LEAST_OUTSTANDING = 'least-outstanding'
 FIFO_RANDOM = 'fifo-random'
 DECISIONS = (SHARED, PRIORITY_LOCAL, LEAST_OUTSTANDING, FIFO_RANDOM)
-PORT_MOST = 65_535
-KEY_LENGTH_LEAST = 8
+MAX_PORT = 65_535
+MIN_KEY_LENGTH = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,11 +63,15 @@
     _check_addresses(settings)
     _check_keys(settings)
     if settings.threads < 1:
-        raise _wrong('threads', 'is less than 1')
+        raise _settings_error('threads', 'is less than 1')
     if settings.decisions not in DECISIONS:
-        raise _wrong('decisions', f'is not one of {", ".join(DECISIONS)}')
+        raise _settings_error(
+            'decisions', f'is not one of {", ".join(DECISIONS)}'
+        )
     if not settings.name.replace('-', '').isalnum():
-        raise _wrong('name', 'is not made of letters, digits and dashes')
+        raise _settings_error(
+            'name', 'is not made of letters, digits and dashes'
+        )
     load_tls(settings)
     load_peer_security(settings)
 
@@ -82,8 +86,8 @@
 
 def _check_keys(settings: Settings) -> None:
     for name in ('operator_key', 'peer_key'):
-        if len(getattr(settings, name)) < KEY_LENGTH_LEAST:
-            raise _wrong(name, f'is shorter than {KEY_LENGTH_LEAST}')
+        if len(getattr(settings, name)) < MIN_KEY_LENGTH:
+            raise _settings_error(name, f'is shorter than {MIN_KEY_LENGTH}')
 
 
 def load_tls(settings: Settings) -> ssl.SSLContext | None:
@@ -129,28 +133,28 @@
     try:
         context.load_cert_chain(certificate, private_key)
     except (OSError, ssl.SSLError) as error:
-        raise _wrong(name, f'cannot be loaded: {error}') from error
+        raise _settings_error(name, f'cannot be loaded: {error}') from error
 
 
 def _load_authority(context: ssl.SSLContext, authority: Path | None) -> None:
     if authority is None:
-        raise _wrong('peer_authority', 'is missing')
+        raise _settings_error('peer_authority', 'is missing')
     try:
         context.load_verify_locations(authority)
     except (OSError, ssl.SSLError) as error:
         reason = f'cannot be loaded: {error}'
-        raise _wrong('peer_authority', reason) from error
+        raise _settings_error('peer_authority', reason) from error
 
 
 def _check_address(name: str, address: str) -> None:
     host, colon, port = address.rpartition(':')
-    if not colon or not port.isdigit() or int(port) > PORT_MOST:
-        raise _wrong(name, f'is not ip:port: {address}')
+    if not colon or not port.isdigit() or int(port) > MAX_PORT:
+        raise _settings_error(name, f'is not ip:port: {address}')
     try:
         ipaddress.ip_address(host)
     except ValueError as error:
-        raise _wrong(name, f'is not an IP number: {host}') from error
+        raise _settings_error(name, f'is not an IP number: {host}') from error
 
 
-def _wrong(name: str, reason: str) -> SettingsError:
+def _settings_error(name: str, reason: str) -> SettingsError:
     return SettingsError(Code.setting_wrong, f'{name} {reason}')
--- a/src/siskinpass/process/status.py
+++ b/src/siskinpass/process/status.py
@@ -33,11 +33,11 @@
 from siskinpass.process.treewatch import PEER_ERRORS
 from siskinpass.version.tree_version import CurrentVersion
 
-STATUS = 'status/promises'
-EVERY_S = 1.0
-READ_EVERY_S = 2.0
+STATUS_KEY = 'status/promises'
+INTERVAL_S = 1.0
+READ_INTERVAL_S = 2.0
 CALL_TIMEOUT_S = 0.8
-ALARMS_KEPT = 200
+MAX_ALARMS = 200
 MEDIAN = 0.5
 TAIL = 0.95
 
@@ -72,25 +72,25 @@
 
     def __init__(
         self,
-        parts: StatusContext,
+        context: StatusContext,
         lease: LeaseKeeper,
     ) -> None:
         """Start with nothing judged."""
-        self._own = parts.name
-        self._store = parts.store
-        self._links = parts.links
-        self._book = parts.current_version
-        self._counts = parts.counts
-        self._members = parts.members
+        self._own = context.name
+        self._store = context.store
+        self._links = context.links
+        self._current_version = context.current_version
+        self._counts = context.counts
+        self._members = context.members
         self._lease = lease
         self._loop = asyncio.get_running_loop()
         self._merged = CountBook()
-        self._watches: dict[str, BreachWatch] = {}
+        self._breach_watches: dict[str, BreachWatch] = {}
         self._states: dict[str, NodeState] = {}
         self._alarms: list[Alarm] = []
         self._policy = BreachPolicy()
-        self._last = 0
-        self._cursors: dict[str, int] = {}
+        self._last_evaluated = 0
+        self._last_merged: dict[str, int] = {}
         self._stored = b''
         self._log = ComponentLog('status')
         self._read_at_s = 0.0
@@ -99,37 +99,39 @@
     async def run(self) -> None:
         """Judge each second while the lease is held, else read."""
         while True:
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(INTERVAL_S)
             with suppress(StoreError):
                 await self._step()
 
     async def _step(self) -> None:
         fence = self._lease.fence
         if fence is None:
-            self._watches.clear()
+            self._breach_watches.clear()
             await self._read()
             return
         # The current second is still being counted.
         last = int(self._loop.time()) - 1
-        if last <= self._last:
+        if last <= self._last_evaluated:
             return
         await self._collect(last)
-        self._judge(last)
-        self._last = last
+        self._evaluate(last)
+        self._last_evaluated = last
         await self._write(fence)
 
     async def _collect(self, last: int) -> None:
-        own = encode_counts_after(self._counts, self._seen(self._own), last)
+        own = encode_counts_after(
+            self._counts, self._last_merged_second(self._own), last
+        )
         self._merge(self._own, last, last, own)
         others = [
             member.name
             for member in self._members()
             if member.name != self._own
         ]
-        await asyncio.gather(*[self._ask(name, last) for name in others])
+        await asyncio.gather(*[self._fetch(name, last) for name in others])
 
-    async def _ask(self, name: str, last: int) -> None:
-        request = pb.CountsRequest(after_second=self._seen(name))
+    async def _fetch(self, name: str, last: int) -> None:
+        request = pb.CountsRequest(after_second=self._last_merged_second(name))
         try:
             stub = self._links.stub(name)
             reply = await stub.ReadCounts(request, timeout=CALL_TIMEOUT_S)
@@ -138,56 +140,60 @@
             return
         self._merge(name, last, reply.last_second, reply.counts)
 
-    def _seen(self, name: str) -> int:
+    def _last_merged_second(self, name: str) -> int:
         """Return the last second of an instance that was merged."""
-        return self._cursors.get(name, 0)
+        return self._last_merged.get(name, 0)
 
     def _merge(
         self,
         name: str,
         last: int,
-        peer_last: int,
+        peer_last_second: int,
         counts: Iterable[pb.NodeCounts],
     ) -> None:
-        self._cursors[name] = peer_last
-        for told in counts:
-            if told.age_s < self._policy.long_s:
-                tally = _decode_tally(told)
-                self._merged.add(last - told.age_s, told.node, tally)
-
-    def _judge(self, last: int) -> None:
-        version = self._book.current
+        self._last_merged[name] = peer_last_second
+        for node_counts in counts:
+            if node_counts.age_s < self._policy.long_s:
+                tally = _decode_tally(node_counts)
+                self._merged.add(
+                    last - node_counts.age_s, node_counts.node, tally
+                )
+
+    def _evaluate(self, last: int) -> None:
+        version = self._current_version.current
         if version is None:
             return
         for node in self._merged.nodes():
             class_settings = version.tree.class_settings(*node.split('/', 1))
             if class_settings is None:
                 continue
-            watch = self._watches.get(node)
+            watch = self._breach_watches.get(node)
             if watch is None:
                 watch = BreachWatch(self._policy, class_settings.objective)
-                self._watches[node] = watch
+                self._breach_watches[node] = watch
             seconds = self._merged.window(node, last, self._policy.long_s)
-            self._note(node, watch.evaluate(seconds, last))
+            self._update_state(node, watch.evaluate(seconds, last))
         self.document = self._describe(last)
 
-    def _note(self, node: str, state: NodeState) -> None:
+    def _update_state(self, node: str, state: NodeState) -> None:
         before = self._states.get(node)
         self._states[node] = state
-        was = before is not None and before.state is PromiseState.breached
-        now = state.state is PromiseState.breached
-        if was == now:
+        was_breached = (
+            before is not None and before.state is PromiseState.breached
+        )
+        is_breached = state.state is PromiseState.breached
+        if was_breached == is_breached:
             return
         alarm = Alarm(
             node,
-            'raised' if now else 'cleared',
+            'raised' if is_breached else 'cleared',
             state.cause.value,
             time.time(),
         )
         self._alarms.append(alarm)
-        self._alarms = self._alarms[-ALARMS_KEPT:]
+        self._alarms = self._alarms[-MAX_ALARMS:]
         self._log.warn(
-            'A breach was raised.' if now else 'A breach was cleared.',
+            'A breach was raised.' if is_breached else 'A breach was cleared.',
             node=node,
             cause=state.cause.value,
         )
@@ -228,23 +234,23 @@
 
     async def _write(self, fence: int) -> None:
         body = orjson.dumps({**self.document, 'fence': fence})
-        stored = await self._store.read(STATUS)
+        stored = await self._store.read(STATUS_KEY)
         if stored is None:
-            await self._store.create(STATUS, body)
+            await self._store.create(STATUS_KEY, body)
             return
-        known = orjson.loads(stored.body)
-        if known.get('fence', 0) > fence:
+        previous = orjson.loads(stored.body)
+        if previous.get('fence', 0) > fence:
             return
         try:
-            await self._store.replace(STATUS, body, stored.version)
+            await self._store.replace(STATUS_KEY, body, stored.version)
         except StoreConflictError:
             self._log.warn('Another instance wrote the status.')
 
     async def _read(self) -> None:
-        if self._loop.time() - self._read_at_s < READ_EVERY_S:
+        if self._loop.time() - self._read_at_s < READ_INTERVAL_S:
             return
         self._read_at_s = self._loop.time()
-        stored = await self._store.read(STATUS)
+        stored = await self._store.read(STATUS_KEY)
         if stored is not None:
             self.document = orjson.loads(stored.body)
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -11,34 +11,34 @@
 from siskinpass.process.request_timeline import build_timeline, read_log
 from tests.fleet import KEY, config, running_fleet, wait_until
 
-ASKED_FOR = 'the-one'
-OTHERS = 40
+CALL_ID = 'the-one'
+OTHER_COUNT = 40
 
 
-async def cut_by_a_crash(fleet):
+async def cut_by_crash(fleet):
     """Break a stream off that may not be resumed."""
     for worker in fleet.workers:
         worker.faults.cuts = 1
-    answer = await fleet.ask('/plain-stream/x', call=ASKED_FOR)
+    answer = await fleet.ask('/plain-stream/x', call=CALL_ID)
     assert not answer.is_whole
 
 
 async def refused_under_load(fleet):
     """Fill every slot, so that one more request waits in vain."""
     for worker in fleet.workers:
-        worker.faults.silent = OTHERS
-    asked = [
+        worker.faults.silent = OTHER_COUNT
+    tasks = [
         asyncio.ensure_future(fleet.ask('/once/x', call=f'other-{number}'))
-        for number in range(OTHERS)
+        for number in range(OTHER_COUNT)
     ]
     await wait_until(lambda: len(fleet.runs) >= 18, 'all slots taken')
-    answer = await fleet.ask('/once/x', call=ASKED_FOR)
+    answer = await fleet.ask('/once/x', call=CALL_ID)
     assert answer.status == 503
-    for task in asked:
+    for task in tasks:
         task.cancel()
 
 
-async def hit_by_a_change(fleet):
+async def refused_after_key_removed(fleet):
     """Take the caller's key away."""
     changed = config(4) | {'tenants': [{'name': 'w', 'api-keys': ['new']}]}
     await fleet.store.put('config', 'main', changed)
@@ -48,28 +48,26 @@
         return answer.status == 401
 
     await wait_until(is_refused, 'the key is gone')
-    answer = await fleet.ask('/once/x', call=ASKED_FOR, key=KEY)
+    answer = await fleet.ask('/once/x', call=CALL_ID, key=KEY)
     assert answer.status == 401
 
 
-async def story_of(fail):
+async def timeline_after(fail):
     """Return what is told of a request that was made to fail."""
     async with running_fleet() as fleet:
         await fail(fleet)
         await asyncio.sleep(0.2)
-        return build_timeline(
-            tuple(read_log(fleet.log.splitlines())), ASKED_FOR
-        )
+        return build_timeline(tuple(read_log(fleet.log.splitlines())), CALL_ID)
 
 
-class TestStories:
+class TestTimelineOfFailures:
     """Test the way from an id to the cause over real instances."""
 
     @pytest.mark.parametrize(
         ('fail', 'told'),
         [
             (
-                cut_by_a_crash,
+                cut_by_crash,
                 ['A request goes to a server', 'ending=cut', 'step=cut'],
             ),
             (
@@ -77,7 +75,7 @@
                 ['A request was refused', 'reason=wait_too_long'],
             ),
             (
-                hit_by_a_change,
+                refused_after_key_removed,
                 [
                     'reason=unknown_key',
                     'A configuration is in force. version=4',
@@ -85,19 +83,21 @@
             ),
         ],
     )
-    def test_cause_is_told(self, fail, told):
+    def test_cause_is_told(self, fail, expected):
         """The story names the cause, and the instance."""
-        story = asyncio.run(asyncio.wait_for(story_of(fail), 60))
-        whole = '\n'.join(story)
-        for words in told:
-            assert words in whole
-        assert 'front-1' in story[0]
-        assert 'other-' not in whole
+        timeline = asyncio.run(asyncio.wait_for(timeline_after(fail), 60))
+        text = '\n'.join(timeline)
+        for words in expected:
+            assert words in text
+        assert 'front-1' in timeline[0]
+        assert 'other-' not in text
 
     def test_request_that_waited_did_not_run(self):
         """A refusal under load shows no server: nothing ran."""
-        story = asyncio.run(asyncio.wait_for(story_of(refused_under_load), 60))
-        assert not [line for line in story if 'goes to a server' in line]
+        timeline = asyncio.run(
+            asyncio.wait_for(timeline_after(refused_under_load), 60)
+        )
+        assert not [line for line in timeline if 'goes to a server' in line]
 
 
 LOG = b"""
@@ -116,17 +116,17 @@
 """  # noqa: E501
 
 
-class TestReading:
+class TestParsedLogs:
     """Test what is taken from logs of many instances."""
 
     def test_order_and_surroundings(self):
         """Lines come in order of time, with what happened around them."""
-        story = build_timeline(tuple(read_log(LOG.splitlines())), 'a')
-        assert [line.split(' s ')[0].strip() for line in story[:2]] == [
+        timeline = build_timeline(tuple(read_log(LOG.splitlines())), 'a')
+        assert [line.split(' s ')[0].strip() for line in timeline[:2]] == [
             '+0.000',
             '+0.500',
         ]
-        assert story[2:] == [
+        assert timeline[2:] == [
             'Around it:',
             '  +0.100 s f-2 The store does not answer.',
             '  +0.700 s f-3 A server has no entry any more. server=e-1',
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -58,7 +58,7 @@
             part.often('Ordinary.')
         part.warn('A failure.')
         assert len(seen) == logs.MAX_ROUTINE_LINES + 1
-        now[0] += logs.PERIOD_S
+        now[0] += logs.RATE_PERIOD_S
         part.often('Ordinary.')
         told = [fields for fields in seen if 'lines' in fields]
         assert [fields['lines'] for fields in told] == [7]
