--- a/src/siskinpass/process/__init__.py
+++ b/src/siskinpass/process/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what lives as long as the process."""
+"""Parts that live as long as the process."""
--- a/src/siskinpass/process/addresses.py
+++ b/src/siskinpass/process/addresses.py
@@ -1,4 +1,4 @@
-"""Choose the instances that a caller is told to use."""
+"""Choose the instances whose addresses are returned to a caller."""
 
 import random
 from collections.abc import Iterable
@@ -8,12 +8,17 @@
 
 MAX_ADDRESSES = 3
 MIN_NEAR = 2
-MAX_NEAR = 64  # callers read no more of an answer
+MAX_NEAR = 64  # callers ignore any further addresses of an answer
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Name an instance that a caller may use."""
+    """An instance that a caller may use.
+
+    :param name: name of the instance.
+    :param address: its address for callers, ``ip:port``.
+    :param zone: its availability zone.
+    """
 
     name: str
     address: str
@@ -21,7 +26,10 @@
 
 
 def choose_addresses(serving: Iterable[Member], zone: str) -> list[Address]:
-    """Return instances: the caller's zone first, then one of each other.
+    """Return up to ``MAX_ADDRESSES`` instances, best first.
+
+    An instance in the caller's zone comes first, then one of each other zone.
+    Instances of one zone are in random order, which spreads callers over them.
 
     :param serving: members that are neither dead nor leaving.
     :param zone: availability zone of the caller, empty where unknown.
@@ -42,7 +50,7 @@
 
 
 def _spread_over_zones(candidates: list[Address]) -> list[Address]:
-    """Put one instance of each zone before a second of any."""
+    """Reorder so that each zone's first instance precedes any second one."""
     seen: dict[str, int] = {}
     ranks = []
     for address in candidates:
@@ -53,9 +61,9 @@
 
 
 def addresses_near(serving: Iterable[Member], zone: str) -> list[str]:
-    """Return the instances of a zone, or all where it has fewer than two.
+    """Return the addresses of a zone, or of all zones if it has fewer than two.
 
-    One alone would leave a caller without a second address to turn to.
+    With a single address, a caller would have no alternative if it fails.
 
     :param serving: members that are neither dead nor leaving.
     :param zone: availability zone of the caller.
--- a/src/siskinpass/process/attempt.py
+++ b/src/siskinpass/process/attempt.py
@@ -1,4 +1,4 @@
-"""Run one attempt of a request on one backend server."""
+"""One attempt to run a request on a backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,14 +17,21 @@
 
 
 class CallerDisconnectedError(SiskinpassError):
-    """The caller went away before its answer was whole."""
+    """The caller disconnected before its answer was complete."""
 
 
 class Attempt(AnswerSink):
-    """Take in one answer and pass it on.
-
-    :param parser: follows a stream of tokens, none for a whole answer.
-    :param forward: takes each piece that may be passed on.
+    """Receiver of one answer, which it checks and passes on.
+
+    :param pool: name of the pool of the backend server.
+    :param server: name of the backend server.
+    :param parser: parser of a token stream, ``None`` for a whole answer.
+    :param forward: is called with each piece that may be passed on.
+    :ivar finished: completed when the attempt has ended; holds the error if it
+        failed.
+    :ivar sent_s: when the request was sent.
+    :ivar first_token_s: when the first token arrived, 0 before it.
+    :ivar stalled_s: since when the caller does not read, 0 while it reads.
     """
 
     def __init__(
@@ -34,7 +41,6 @@
         parser: TokenStreamParser | None,
         forward: Callable[[bytes], None],
     ) -> None:
-        """Start before anything was sent."""
         self._loop = asyncio.get_running_loop()
         self._forward = forward
         self._connection: BackendConnection | None = None
@@ -50,7 +56,7 @@
 
     @property
     def answered(self) -> bool:
-        """Return whether the backend server answered at all."""
+        """Return whether the backend server sent the head of an answer."""
         return bool(self.status)
 
     def start(self, connection: BackendConnection, request: bytes) -> None:
@@ -60,7 +66,11 @@
         connection.send(request, self)
 
     def take_head(self, status: int, headers: tuple[Header, ...]) -> bool:
-        """Check the status."""
+        """Store the head; fail a token stream with a status other than 200.
+
+        A status of 503 means that the engine is leaving and did not run the
+        request.
+        """
         self.status = status
         self.headers = {
             name.decode('latin-1').lower(): text.decode('latin-1')
@@ -74,7 +84,7 @@
         return True
 
     def take_piece(self, piece: bytes) -> None:
-        """Pass on what may be passed on."""
+        """Pass on the bytes; those of a token stream in complete events."""
         if self.finished.done():
             return
         if self.parser is None:
@@ -91,7 +101,7 @@
             self._forward(whole)
 
     def take_end(self) -> None:
-        """End the attempt; a stream without its end marker was cut."""
+        """End the attempt, as failed if a stream lacks its end marker."""
         self._connection = None
         if self.finished.done():
             return
@@ -101,13 +111,13 @@
             self.finished.set_result(None)
 
     def take_failure(self, error: BackendError) -> None:
-        """End the attempt."""
+        """End the attempt with an error of the connection."""
         self._connection = None
         if not self.finished.done():
             self.finished.set_exception(error)
 
     def abort(self, error: SiskinpassError) -> None:
-        """End the attempt and stop the backend server's work."""
+        """End the attempt with an error and stop the backend server's work."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.cancel()
@@ -115,11 +125,14 @@
             self.finished.set_exception(error)
 
     def drop_caller(self) -> None:
-        """Give up a caller that does not read."""
+        """End the attempt because its caller does not read."""
         self.abort(CallerDisconnectedError(Code.stream_cut))
 
     def set_flow(self, *, on: bool) -> None:
-        """Slow down or go on, by the pace of the caller."""
+        """Pause or resume reading from the backend server.
+
+        :param on: whether the caller takes data.
+        """
         self.stalled_s = 0.0 if on else self._loop.time()
         if self._connection is not None:
             self._connection.set_reading(on=on)
--- a/src/siskinpass/process/engines.py
+++ b/src/siskinpass/process/engines.py
@@ -1,6 +1,6 @@
-"""Read the engines' reports and give them orders, under a lease.
+"""Reconcile the engines' loaded models with the tree, while a lease is held.
 
-The only module that knows the dialect of reports and orders.
+The only module that knows the format of reports and orders.
 """
 
 import asyncio
@@ -25,7 +25,10 @@
 
 
 class EngineReconciler:
-    """Bring the engines to hold what the tree says, while the lease holds."""
+    """Orders engines to load the models that the tree assigns to their pool.
+
+    Orders are only sent while the lease is held.
+    """
 
     def __init__(
         self,
@@ -33,9 +36,9 @@
         current_version: CurrentVersion,
         servers: Callable[[], Iterable[ServerView]],
     ) -> None:
-        """Start without open orders.
+        """Create a reconciler; requires a running event loop.
 
-        :param servers: gives the listed backend servers.
+        :param servers: returns the listed backend servers.
         """
         self._lease = lease
         self._current_version = current_version
@@ -47,7 +50,7 @@
         self._sending: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Compare and order for ever."""
+        """Read the reports and send orders periodically until cancelled."""
         while True:
             await asyncio.sleep(INTERVAL_S)
             version = self._current_version.current
@@ -65,7 +68,7 @@
             if server.pool == pool and not server.leaving
         }
         reports = await self._read_reports(servers)
-        # The reports took a while; the lease may be gone by now.
+        # The lease may have expired while the reports were read.
         fence = self._lease.fence
         if fence is None:
             return
@@ -89,7 +92,7 @@
     async def _send(self, order: Order, address: str) -> None:
         status = await asyncio.to_thread(self._post_order, order, address)
         self._log.note(
-            'Gave an order.',
+            'Sent an order to an engine.',
             engine=order.engine,
             models=list(order.models),
             fence=order.fence,
--- a/src/siskinpass/process/frontend.py
+++ b/src/siskinpass/process/frontend.py
@@ -1,4 +1,4 @@
-"""Listen for callers and operators."""
+"""Listeners for callers and operators."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -28,14 +28,14 @@
 
 
 class RequestServer(Protocol):
-    """Answer parsed requests."""
+    """Handler of the requests on the relayed paths."""
 
     def serve(self, caller: CallerConnection, head: RequestHead) -> None:
-        """Start to answer a request."""
+        """Start to answer a parsed request."""
 
 
 class Frontend:
-    """Own the listening sockets and the request threads."""
+    """Owner of the listening sockets and of CherryPy's request threads."""
 
     def __init__(
         self,
@@ -43,7 +43,10 @@
         node: Node,
         relay: RequestServer,
     ) -> None:
-        """Make the page handlers; nothing listens yet."""
+        """Create the page handlers without opening sockets.
+
+        Must be called on the event loop.
+        """
         loop = asyncio.get_running_loop()
         self._settings = settings
         self._loop = loop
@@ -58,7 +61,10 @@
 
     @asynccontextmanager
     async def listening(self) -> AsyncGenerator[None, None]:
-        """Listen on both addresses."""
+        """Listen on both addresses while the context is entered.
+
+        On exit the listeners, all open connections and the threads are closed.
+        """
         self._callers.start_threads()
         self._operators.start_threads()
         callers = await self._listen(self._settings.callers, self._callers)
@@ -105,7 +111,7 @@
 
 
 class _TrackedConnection(CallerConnection):
-    """Stand in the set of open connections while open."""
+    """Connection that is in the set of open connections while it is open."""
 
     def __init__(
         self,
@@ -117,21 +123,22 @@
         self._connections = connections
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the set."""
+        """Add the connection to the set."""
         self._connections.add(self)
         super().connection_made(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the set."""
+        """Remove the connection from the set."""
         self._connections.discard(self)
         super().connection_lost(exc)
 
 
 class _RefusingProtocol(asyncio.Protocol):
-    """Refuse a connection beyond the bound."""
+    """Protocol for connections beyond ``MAX_CONNECTIONS``."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Answer and close."""
+        """Answer with an error and close the connection."""
+
         transport.write(
             error_answer(Code.too_many_connections, retry_after_ms=1000),
         )
--- a/src/siskinpass/process/logs.py
+++ b/src/siskinpass/process/logs.py
@@ -1,4 +1,4 @@
-"""Write structured logs, each with the fixed prefix of its part."""
+"""Structured logs, whose message types start with the component's name."""
 
 import os
 import sys
@@ -8,23 +8,29 @@
 
 import eliot
 
-# Lines of one part a second that tell of ordinary work; failures always count
-# as out of the ordinary. Three times the heaviest minute of the users' days.
+# Limit of routine lines in each period for one component; failures are not
+# routine and not limited. Three times the rate in the users' busiest minute.
 MAX_ROUTINE_LINES = 100
 RATE_PERIOD_S = 1.0
-# A reader that stalls costs lines, not memory: about a second of them.
+# While the pipe's reader stalls, about one second of lines is buffered. Further
+# lines are dropped, so that memory stays bounded.
 MAX_BUFFERED_BYTES = 262_144
 
 
 class LineWriter:
-    """Write lines to a pipe without ever waiting for its reader.
+    """Writer of lines to a pipe that never waits for the pipe's reader.
 
-    Lines that do not fit are dropped and counted; the count is written once
-    there is room again.
+    Lines that do not fit into the buffer are dropped and counted. The count is
+    written as a line of its own once the buffer is empty again.
+
+    :ivar dropped: lines dropped since the count was last written.
     """
 
     def __init__(self, pipe: BinaryIO) -> None:
-        """Take a pipe over; it is set to never block."""
+        """Set the pipe to non-blocking mode.
+
+        :param pipe: pipe that nothing else writes to.
+        """
         self._descriptor = pipe.fileno()
         os.set_blocking(self._descriptor, False)  # noqa: FBT003
         self._buffer: deque[bytes] = deque()
@@ -32,7 +38,7 @@
         self.dropped = 0
 
     def write(self, text: str | bytes) -> None:
-        """Take in one line."""
+        """Append one line to the buffer, or drop it if the buffer is full."""
         line = text.encode() if isinstance(text, str) else text
         if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
@@ -41,7 +47,7 @@
         self._buffered_bytes += len(line)
 
     def flush(self) -> None:
-        """Write what the pipe takes now."""
+        """Write as much of the buffer as the pipe accepts without blocking."""
         while self._buffer:
             line = self._buffer.popleft()
             written = self._write(line)
@@ -66,20 +72,22 @@
 
 
 class ComponentLog:
-    """Log for one part of the process.
+    """Log of one component of the process.
 
-    :param part: fixed prefix, as ``relay`` or ``tree``.
+    :param component: prefix of its message types, such as ``relay``.
     """
 
     def __init__(self, component: str) -> None:
-        """Keep the prefix."""
         self._component = component
         self._period = 0
         self._lines = 0
         self._suppressed: Counter[str] = Counter()
 
     def often(self, sentence: str, **fields: Any) -> None:
-        """Log ordinary work, of which some is left out under load."""
+        """Log a routine event; lines above the rate limit are suppressed.
+
+        The number of suppressed lines is logged in a later period.
+        """
         period = int(time.monotonic() / RATE_PERIOD_S)
         if period != self._period:
             self._start_period(period)
@@ -90,7 +98,7 @@
             self.note(sentence, **fields)
 
     def note(self, sentence: str, **fields: Any) -> None:
-        """Log one short sentence."""
+        """Log an event, described by one short fixed sentence."""
         eliot.log_message(
             message_type=f'{self._component}:note',
             text=sentence,
@@ -98,7 +106,7 @@
         )
 
     def warn(self, sentence: str, **fields: Any) -> None:
-        """Log one short sentence that an operator should see."""
+        """Log a warning, which an operator should see."""
         eliot.log_message(
             message_type=f'{self._component}:warning',
             text=sentence,
@@ -110,13 +118,16 @@
         self._period = period
         self._lines = 0
         for sentence, lines in suppressed.items():
-            self.note('Lines were left out.', kind=sentence, lines=lines)
+            self.note(
+                'Routine lines were suppressed.', kind=sentence, lines=lines
+            )
 
 
 def start_pipe_logs(pipe: BinaryIO, instance: str) -> None:
     """Send the logs to a pipe as JSON lines, without waiting for its reader.
 
-    :param instance: stands in each line, as logs of many are read together.
+    :param instance: name of this instance, added to each line because the logs
+        of all instances are read together.
     """
     eliot.add_global_fields(instance=instance)
     eliot.to_file(LineWriter(pipe))
--- a/src/siskinpass/process/metrics.py
+++ b/src/siskinpass/process/metrics.py
@@ -1,4 +1,4 @@
-"""Count what the process does, for ``/metrics``."""
+"""Metrics of the process, for ``/metrics``."""
 
 import math
 
@@ -6,7 +6,8 @@
 
 from siskinpass.codes import Code
 
-# Seconds; the targets and longest pauses of the sheets stand among them.
+# Bucket bounds in seconds. They include the latency targets and the longest
+# allowed pauses of the platform's specification sheets.
 BUCKETS_S = (
     0.02,
     0.05,
@@ -26,13 +27,12 @@
 
 
 class Metrics:
-    """Hold the counters and histograms of one process.
+    """Counters, histograms and gauges of one process.
 
-    Counters are written from the event loop only.
+    Counters and histograms must only be written on the event loop.
     """
 
     def __init__(self) -> None:
-        """Register the counters."""
         self._registry = Registry()
         self._answers = self._counter(
             'siskinpass_answers_total',
@@ -77,45 +77,53 @@
         )
 
     def answered(self, node: str, tokens: int) -> None:
-        """Count one whole answer."""
+        """Count one complete answer and its tokens.
+
+        :param node: path of the request class in the settings tree, or name of
+            the route.
+        """
         self._answers.inc({'node': node})
         self._tokens.add({'node': node}, tokens)
 
     def waited(self, node: str, wait_s: float) -> None:
-        """Count how long a request waited for its server."""
+        """Record how long a request waited for its backend server."""
         self._waits.observe({'node': node}, wait_s)
 
     def streamed(self, node: str, first_s: float, pause_s: float) -> None:
-        """Count the times of the events of a whole stream."""
+        """Record the latencies of a complete stream.
+
+        :param first_s: time from arrival to the first event.
+        :param pause_s: longest time between two events.
+        """
         self._firsts.observe({'node': node}, first_s)
         self._pauses.observe({'node': node}, pause_s)
 
     def ended(self, node: str, outcome: str, duration_s: float) -> None:
-        """Count how long a request took to its end.
+        """Record how long a request took from arrival to its end.
 
-        :param outcome: ``answered``, or the name of a code.
+        :param outcome: ``ANSWERED``, or the name of the code that ended it.
         """
         labels = {'node': node, 'outcome': outcome}
         self._durations.observe(labels, duration_s)
 
     def refused(self, code: Code) -> None:
-        """Count one request that ended in a code."""
+        """Count one request that ended with an error code."""
         self._refusals.inc({'code': str(int(code)), 'reason': code.name})
 
     def retried(self, code: Code) -> None:
-        """Count one attempt made again."""
+        """Count one retry by its reason."""
         self._retries.inc({'code': str(int(code)), 'reason': code.name})
 
     def store_called(self, kind: str) -> None:
-        """Count one call to the object store."""
+        """Count one call to the object store by its kind."""
         self._store_calls.inc({'kind': kind})
 
     def set_state(self, name: str, level: float) -> None:
-        """Set one gauge."""
+        """Set the gauge of one state of the process."""
         self._gauges.set({'name': name}, level)
 
     def render(self) -> bytes:
-        """Return all counters in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return render(self._registry, ['text/plain'])[0]
 
     def _counter(self, name: str, doc: str) -> Counter:
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -1,4 +1,4 @@
-"""Put the parts of one entry instance together and run them."""
+"""Entry instance: creates its parts, connects, starts and stops them."""
 
 import asyncio
 import random
@@ -65,10 +65,13 @@
 
 
 class EntryNode:
-    """Own every part of one entry instance."""
+    """Owner of all parts of one process."""
 
     def __init__(self, settings: Settings) -> None:
-        """Make the parts; must be called on the event loop."""
+        """Create the parts without opening sockets or starting tasks.
+
+        Must be called on the event loop.
+        """
         self._settings = settings
         self._loop = asyncio.get_running_loop()
         self._log = ComponentLog('node')
@@ -90,7 +93,7 @@
         self._create_relay_parts()
 
     def _create_cluster_parts(self) -> None:
-        """Make the parts that act together with other instances."""
+        """Create the parts that communicate with other instances."""
         settings = self._settings
         peers_host = settings.peers.rsplit(':', 1)[0]
         self._links = PeerLinks(settings.name, peers_host, self._security)
@@ -128,7 +131,7 @@
         self.dispatcher.alone = settings.decisions != SHARED
 
     def _create_relay_parts(self) -> None:
-        """Make the parts that answer callers."""
+        """Create the parts that answer callers and manage the engines."""
         settings = self._settings
         self._counts = CountBook()
         self._claims = Claims(self._store)
@@ -174,7 +177,10 @@
         self._frontend = Frontend(settings, self, self.relay)
 
     async def run(self) -> None:
-        """Serve until told to leave and the last request is answered."""
+        """Serve until the instance has been drained.
+
+        An exception of any background task ends it and is raised.
+        """
         async with self._started() as tasks:
             stopping = asyncio.ensure_future(self.stopped.wait())
             done, _ = await asyncio.wait(
@@ -182,24 +188,30 @@
                 return_when=asyncio.FIRST_COMPLETED,
             )
             for task in done - {stopping}:
-                # A part never ends by itself: what ended it is shown.
+                # These tasks only end by an exception, which this raises.
                 task.result()
 
     async def drain(self) -> None:
-        """Leave: take nothing new, finish what is open, then stop."""
+        """Begin to leave; return before the open requests are answered."""
         self.start_drain()
 
     def start_drain(self) -> None:
-        """Begin to leave."""
+        """Begin to leave: refuse new requests, finish the open ones, then stop.
+
+        Does nothing if the instance is already leaving.
+        """
         if self._leaving:
             return
         self._leaving = True
-        self._log.note('Leaving.')
+        self._log.note('The instance is leaving.')
         self._announce_self()
         self._leave_task = self._loop.create_task(self._finish_drain())
 
     def addresses(self, zone: str) -> list[Address]:
-        """Return instances to use, the best first."""
+        """Return the instances that a caller should use, best first.
+
+        :param zone: availability zone of the caller, empty where unknown.
+        """
         serving = [
             member
             for member in self.gossip.membership.serving
@@ -208,7 +220,7 @@
         return choose_addresses(serving, zone)
 
     def unready_reason(self) -> Code | None:
-        """Return why this instance is not ready, or none."""
+        """Return why this instance is not ready, ``None`` if it is ready."""
         if self._leaving:
             return Code.instance_leaving
         if self.tree_watch.book.current is None:
@@ -216,7 +228,7 @@
         return None
 
     def models(self) -> list[str]:
-        """Return the models of the version in force."""
+        """Return the names of the models of all pools, sorted."""
         version = self.tree_watch.book.current
         if version is None:
             return []
@@ -224,14 +236,17 @@
         return sorted({model for pool in pools for model in pool.models})
 
     def tree(self) -> tuple[int, Mapping[str, Any]]:
-        """Return number and tree of the version in force."""
+        """Return number and tree of the version in force.
+
+        :returns: ``(0, {})`` before the first version.
+        """
         version = self.tree_watch.book.current
         if version is None:
             return 0, {}
         return version.number, tree_mapping(version.tree)
 
     def status(self) -> dict[str, Any]:
-        """Return what holds, as this instance knows it."""
+        """Return the status document for operators, as known here."""
         versions = describe_versions(
             self.gossip.membership.members,
             self.tree_watch.book.number,
@@ -246,7 +261,7 @@
         }
 
     def metrics(self) -> bytes:
-        """Return the counters."""
+        """Return all metrics in the Prometheus text format."""
         book = self.process_metrics
         book.set_state('open_requests', self.relay.open_requests)
         book.set_state('open_streams', self.stream_monitor.open_streams)
@@ -257,28 +272,41 @@
         return book.render()
 
     async def propose(self, proposal: Proposal) -> int:
-        """Accept an edit and put it in force here at once."""
+        """Store an edit as a new version and put it in force here at once.
+
+        :returns: the number of the version.
+        """
         version = await self._repository.propose(proposal)
         self.tree_watch.adopt_if_newer(version)
         return version.number
 
     async def history(self) -> tuple[Edit, ...]:
-        """Return the latest edits."""
+        """Return the latest accepted edits of the tree."""
         return await self._repository.history()
 
     async def tree_at(self, number: int) -> Mapping[str, Any]:
-        """Return an earlier tree."""
+        """Return the tree of an accepted version by its number."""
         return await self._repository.tree_at(number)
 
     def tree_newer_than(self, number: int) -> tuple[int, str]:
-        """Return number and text of the version in force for a peer."""
+        """Return the version in force to a peer that has an older one.
+
+        :param number: version of the peer.
+        :returns: the number in force and the tree as YAML, or an empty text
+            where it is not newer than the peer's.
+        """
         version = self.tree_watch.book.current
         if version is None or version.number <= number:
             return self.tree_watch.book.number, ''
         return version.number, version.text
 
     def counts_after(self, second: int) -> pb.CountsReply:
-        """Return this instance's counts for a peer."""
+        """Return this instance's counts for a peer.
+
+        The current second is left out, because it is still being counted.
+
+        :param second: the last second whose counts the peer already has.
+        """
         last = int(self._loop.time()) - 1
         counts = encode_counts_after(self._counts, second, last)
         return pb.CountsReply(counts=counts, last_second=last)
@@ -315,7 +343,9 @@
         ]
         try:
             async with self._frontend.listening():
-                self._log.note('Serving.', callers=settings.callers)
+                self._log.note(
+                    'The instance accepts callers.', callers=settings.callers
+                )
                 yield tasks
         finally:
             self._close(tasks, peer_server)
@@ -333,7 +363,7 @@
         await self.relay.drain()
         await asyncio.sleep(LEAVE_DELAY_S)
         await self.relay.drain()
-        self._log.note('Left.')
+        self._log.note('The process ends.')
         self.stopped.set()
 
     async def _recheck_brokers(self) -> None:
--- a/src/siskinpass/process/overview.py
+++ b/src/siskinpass/process/overview.py
@@ -1,4 +1,4 @@
-"""Describe what holds, as one instance knows it."""
+"""Parts of the status document that describe versions and brokers."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -14,9 +14,10 @@
     members: Iterable[Member],
     number: int,
 ) -> dict[str, Any]:
-    """Tell which version is in force on which instance.
+    """Return which version of the tree is in force at which instance.
 
-    :param number: version in force at the instance that is asked.
+    :param number: version in force at this instance; live members with a lower
+        one are listed under ``behind``.
     """
     known_members = tuple(members)
     behind = [
@@ -40,7 +41,7 @@
 
 
 def describe_brokers(brokers: Mapping[str, Broker]) -> dict[str, Any]:
-    """Tell what the brokers of an instance decide on."""
+    """Return the queue and the backend servers of each broker, by group."""
     return {
         group: _describe_broker(broker) for group, broker in brokers.items()
     }
--- a/src/siskinpass/process/pages.py
+++ b/src/siskinpass/process/pages.py
@@ -1,7 +1,7 @@
-"""Serve the pages of callers and operators with CherryPy.
+"""CherryPy pages for callers and operators.
 
-Page handlers run on request threads. They read snapshots and ask the event
-loop for everything else by message.
+Page handlers run on request threads. They read snapshots directly and run
+everything else as coroutines on the event loop.
 """
 
 import asyncio
@@ -28,41 +28,55 @@
 
 
 class Node(Protocol):
-    """Answer what the pages ask; each coroutine runs on the event loop."""
+    """Interface of the instance that the pages use.
+
+    Coroutines run on the event loop; the other methods are called on request
+    threads.
+    """
 
     def addresses(self, zone: str) -> list[Address]:
-        """Return instances to use, the best first."""
+        """Return the instances that a caller should use, best first."""
 
     def unready_reason(self) -> Code | None:
-        """Return why this instance is not ready, or none."""
+        """Return why this instance is not ready, ``None`` if it is ready."""
 
     def models(self) -> list[str]:
-        """Return the models of the version in force."""
+        """Return the names of the models that callers can use."""
 
     def tree(self) -> tuple[int, Mapping[str, Any]]:
-        """Return number and tree of the version in force."""
+        """Return number and tree of the version in force.
+
+        :returns: 0 and an empty mapping before the first version.
+        """
 
     def status(self) -> Mapping[str, Any]:
-        """Return what holds."""
+        """Return the status document."""
 
     def metrics(self) -> bytes:
-        """Return the counters."""
+        """Return all metrics in the Prometheus text format."""
 
     async def propose(self, proposal: Proposal) -> int:
-        """Accept an edit and return the number of its version."""
+        """Accept an edit and return the number of its version.
+
+        :raises SiskinpassError: if the edit was not accepted or its outcome is
+            unknown.
+        """
 
     async def history(self) -> tuple[Edit, ...]:
-        """Return the latest edits."""
+        """Return the latest accepted edits of the tree."""
 
     async def tree_at(self, number: int) -> Mapping[str, Any]:
-        """Return an earlier tree."""
+        """Return the tree of an accepted version.
+
+        :raises TreeError: if the version is not in the history.
+        """
 
     async def drain(self) -> None:
-        """Begin to leave."""
+        """Begin to leave; return before the open requests are answered."""
 
 
 class _BasePages:
-    """Share what both sides need."""
+    """Pages that callers and operators have in common."""
 
     def __init__(self, node: Node, loop: asyncio.AbstractEventLoop) -> None:
         self._node = node
@@ -74,12 +88,15 @@
 
     @cherrypy.expose
     def healthz(self) -> bytes:
-        """Answer while the process lives."""
+        """Return status 200, which shows that the process is running."""
         return _json({'alive': True})
 
     @cherrypy.expose
     def readyz(self) -> bytes:
-        """Answer whether callers should be sent here."""
+        """Return status 200 if callers should use this instance, else an error.
+
+        The error's code says why they should not.
+        """
         reason = self._node.unready_reason()
         if reason is None:
             return _json({'ready': True})
@@ -87,7 +104,7 @@
 
 
 class CallerPages(_BasePages):
-    """Answer callers for all but the relayed paths."""
+    """Pages for callers, except the relayed paths."""
 
     def __init__(
         self,
@@ -95,32 +112,38 @@
         loop: asyncio.AbstractEventLoop,
         keep_s: int,
     ) -> None:
-        """Set how long a caller may keep an address."""
+        """Create the pages.
+
+        :param keep_s: time in seconds for which callers may cache an address.
+        """
         super().__init__(node, loop)
         self._keep_s = keep_s
         self.v1 = _ModelPages(node)
 
     @cherrypy.expose
     def address(self, zone: str = '') -> bytes:
-        """Tell a caller which instances to use, and for how long."""
+        """Return the instances that a caller should use, and for how long.
+
+        :param zone: availability zone of the caller, empty where unknown.
+        """
         addresses = [asdict(entry) for entry in self._node.addresses(zone)]
         return _json({'addresses': addresses, 'keep_s': self._keep_s})
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> bytes:
-        """Answer for any other path."""
+        """Answer any other path with an error."""
         return _error(SiskinpassError(Code.unknown_path))
 
 
 class _ModelPages:
-    """Answer under ``/v1``."""
+    """Pages under ``/v1``."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     @cherrypy.expose
     def models(self) -> bytes:
-        """List the models."""
+        """List the models, in the format of the OpenAI API."""
         entries = [
             {
                 'id': model,
@@ -134,7 +157,7 @@
 
 
 class OperatorPages(_BasePages):
-    """Answer operators, who show their key on every call."""
+    """Pages for operators; most of them require the operators' key."""
 
     def __init__(
         self,
@@ -142,18 +165,20 @@
         loop: asyncio.AbstractEventLoop,
         key: str,
     ) -> None:
-        """Keep the operators' key."""
         super().__init__(node, loop)
         self._key = key
 
     @cherrypy.expose
     def tree(self, *path: str, **query: str) -> bytes:
-        """Read the tree, or propose another with PUT."""
+        """Return the tree, or propose a new one with PUT.
+
+        Without a version number in the path, the version in force is returned.
+        """
         return self._with_key(lambda: self._tree(path))
 
     @cherrypy.expose
     def history(self) -> bytes:
-        """Tell the latest edits."""
+        """Return the latest accepted edits of the tree."""
         return self._with_key(
             lambda: [
                 asdict(edit) for edit in self._run_on_loop(self._node.history())
@@ -162,30 +187,30 @@
 
     @cherrypy.expose
     def diff(self, old: str = '0', new: str = '0') -> bytes:
-        """Tell what changed from one version to another."""
+        """Return the changes from one version to another, by number."""
         return self._with_key(
             lambda: self._diff(_parse_version(old), _parse_version(new))
         )
 
     @cherrypy.expose
     def status(self) -> bytes:
-        """Tell what holds."""
+        """Return the status document."""
         return self._with_key(self._node.status)
 
     @cherrypy.expose
     def drain(self) -> bytes:
-        """Begin to leave, as a termination signal does."""
+        """Begin to leave, as on SIGTERM."""
         return self._with_key(self._drain)
 
     @cherrypy.expose
     def metrics(self) -> bytes:
-        """Tell the counters; needs no key."""
+        """Return all metrics in the Prometheus text format; needs no key."""
         cherrypy.response.headers['Content-Type'] = 'text/plain'
         return self._node.metrics()
 
     @cherrypy.expose
     def default(self, *path: str, **query: str) -> bytes:
-        """Answer for any other path."""
+        """Answer any other path with an error."""
         return _error(SiskinpassError(Code.unknown_path))
 
     def _with_key(self, answer: Callable[[], Any]) -> bytes:
@@ -213,17 +238,19 @@
 
     def _propose(self, body: bytes) -> int:
         try:
-            future = orjson.loads(body)
-            text = future['tree']
-            base = int(future['base'])
-        except (KeyError, TypeError, ValueError) as why:
-            raise TreeError(Code.tree_invalid, 'no tree and base') from why
+            document = orjson.loads(body)
+            text = document['tree']
+            base = int(document['base'])
+        except (KeyError, TypeError, ValueError) as error:
+            raise TreeError(
+                Code.tree_invalid, 'the body needs the fields tree and base'
+            ) from error
         tree = _validated_mapping(text)
         proposal = Proposal(
             base,
             tree,
-            str(future.get('author', '')),
-            str(future.get('message', '')),
+            str(document.get('author', '')),
+            str(document.get('message', '')),
         )
         return self._run_on_loop(self._node.propose(proposal))
 
@@ -238,7 +265,7 @@
 
 
 def make_application(root: object) -> cherrypy.Application:
-    """Return a WSGI application of pages that never logs to the screen."""
+    """Return a WSGI application that does not log to standard output."""
     cherrypy.config.update({'environment': 'embedded'})
     application = cherrypy.Application(root, '')
     application.log.screen = False
@@ -253,16 +280,16 @@
 
 
 def _validated_mapping(text: str | Mapping[str, Any]) -> dict[str, Any]:
-    """Check a tree given as YAML or as mappings; return it as mappings."""
+    """Validate a tree given as YAML or as mappings; return it as mappings."""
     if isinstance(text, str):
-        # Parsing the operator's own text keeps the line numbers of faults.
+        # Parsing the operator's own text gives errors with its line numbers.
         return tree_mapping(parse_tree(text))
     return tree_mapping(make_version(0, text).tree)
 
 
 def _parse_version(text: str) -> int:
     if not text.isdigit():
-        raise TreeError(Code.unknown_version, f'not a version: {text}')
+        raise TreeError(Code.unknown_version, f'not a version number: {text}')
     return int(text)
 
 
--- a/src/siskinpass/process/relay.py
+++ b/src/siskinpass/process/relay.py
@@ -1,4 +1,4 @@
-"""Carry each caller's request to a backend server and its answer back."""
+"""Serve callers' requests: parsing, idempotency claims, answers and counts."""
 
 import asyncio
 import itertools
@@ -35,7 +35,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayContext:
-    """Hold what the relay works with."""
+    """Parts of the process that the relay uses.
+
+    :param name: name of this instance.
+    :param incarnation: number that differs after each start of the instance.
+    :param address_of: returns the address of a backend server, empty where it
+        is not listed.
+    :param sends_priority: whether engines are sent the tier as a priority.
+    :param other_address: returns the address of another instance for callers
+        that this one refuses while it is leaving, empty where there is none.
+    """
 
     name: str
     incarnation: int
@@ -52,10 +61,13 @@
 
 
 class Relay:
-    """Start a task for each request and bring it to its one answer."""
+    """Owner of the tasks that answer requests, one task for each.
+
+    :ivar leaving: whether new requests are refused because the instance is
+        leaving.
+    """
 
     def __init__(self, context: RelayContext) -> None:
-        """Keep the parts."""
         self._context = context
         self._loop = asyncio.get_running_loop()
         self._numbers = itertools.count(1)
@@ -75,17 +87,20 @@
 
     @property
     def open_requests(self) -> int:
-        """Return how many requests are being answered."""
+        """Return the number of unfinished tasks.
+
+        These include writes that settle claims.
+        """
         return len(self._tasks)
 
     def serve(self, caller: CallerConnection, head: RequestHead) -> None:
-        """Start to answer a request."""
+        """Start a task that answers a request."""
         task = self._loop.create_task(self._serve(caller, head))
         self._track_task(task)
         task.add_done_callback(lambda done: self._on_task_done(done, caller))
 
     async def drain(self) -> None:
-        """Wait until every request is answered."""
+        """Wait until every request is answered and every claim is settled."""
         while self._tasks:
             await asyncio.wait(tuple(self._tasks))
 
@@ -205,9 +220,15 @@
         done: asyncio.Task[None],
         caller: CallerConnection,
     ) -> None:
-        """Cut a caller off rather than leave it without an end."""
+        """Close the caller's connection if its task raised an exception.
+
+        The caller would otherwise wait for an answer that never comes.
+        """
         if not done.cancelled() and done.exception() is not None:
-            self._log.warn('A request failed.', why=repr(done.exception()))
+            self._log.warn(
+                'A request failed with an internal error.',
+                why=repr(done.exception()),
+            )
             caller.abort()
 
     def _finish_with_error(
@@ -217,8 +238,9 @@
         error: SiskinpassError,
     ) -> None:
         if run.stream_started:
-            # A stream that has begun can only be cut, so that it is not
-            # taken for whole.
+            # Once a stream has started, only closing the connection shows
+            # that it is incomplete.
+
             self._context.metrics.refused(error.code)
             run.write_error_event(error)
             caller.abort_after_write()
--- a/src/siskinpass/process/request_timeline.py
+++ b/src/siskinpass/process/request_timeline.py
@@ -1,4 +1,7 @@
-"""Follow one request through the logs of all instances. Pure logic."""
+"""Reconstruct from the logs of all instances what happened to one request.
+
+Pure logic without I/O.
+"""
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator, Sequence
@@ -9,10 +12,11 @@
 
 from siskinpass.codes import MEANINGS, Code
 
-# What happened at a server or at an instance this long before or after a
-# request's own lines may have to do with them.
+# Events at the request's servers and instance up to this long before its first
+# and after its last line are shown, because they may be related.
 CONTEXT_S = 2.0
-# Fields of every line, which say nothing of one request.
+# Fields that every line has and that are shown elsewhere or not specific to a
+# request.
 COMMON_FIELDS = frozenset(
     (
         'timestamp',
@@ -26,7 +30,8 @@
 )
 SERVER_COMPONENTS = frozenset(('state',))
 INSTANCE_COMPONENTS = frozenset(('state', 'store', 'node'))
-# What the writers of the logs say where a request failed.
+# Sentences that are logged when a request fails. They are used both to write
+# the log and to find these lines.
 ATTEMPT_FAILED = 'An attempt failed.'
 STREAM_CUT = 'A stream was cut.'
 REQUEST_REFUSED = 'A request was refused.'
@@ -35,12 +40,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Hold one line of a log.
+    """One line of a log.
 
     :param at_s: Unix time.
-    :param instance: instance that wrote it, empty where it does not say.
-    :param part: part of the process.
-    :param fields: all fields as they were written.
+    :param instance: instance that wrote it, empty where unknown.
+    :param component: component of the process that wrote it.
+    :param text: the logged sentence.
+    :param fields: all fields of the line, including those above.
     """
 
     at_s: float
@@ -51,22 +57,26 @@
 
     @property
     def call(self) -> str:
-        """Return the id of the request that it tells of, or nothing."""
+        """Return the id of its request, empty if it belongs to none."""
         return str(self.fields.get('call', ''))
 
     @property
     def server(self) -> str:
-        """Return the backend server that it names, or nothing."""
+        """Return the backend server that it names, empty if it names none."""
         return str(self.fields.get('server', ''))
 
     @property
     def is_failure(self) -> bool:
-        """Return whether it tells of a request that failed."""
+        """Return whether it reports that an attempt or a request failed."""
         return self.text in FAILURES
 
 
 def read_log(lines: Iterable[bytes]) -> Iterator[LogLine]:
-    """Return the log lines among the given ones, whatever precedes them."""
+    """Parse log lines, and skip lines that are not in the log's format.
+
+    :param lines: lines as written; text before the JSON object, such as a time
+        stamp of the log collector, is ignored.
+    """
     for line in lines:
         start = line.find(b'{')
         try:
@@ -84,12 +94,14 @@
 
 
 def build_timeline(log: Sequence[LogLine], call_id: str) -> list[str]:
-    """Return what the logs tell of one request, in order of time.
+    """Return what the logs contain about one request.
 
-    Its own lines come first, then what happened at its instance and at its
-    servers around that time.
+    Its own lines come first, then events at its instance and servers around
+    that time, each in order of time. The last lines state how many other
+    requests failed at the same servers.
 
-    :returns: lines of text, none where the id is not in the logs.
+    :param call_id: the caller's id of its attempt.
+    :returns: lines of text, empty where the id is not in the logs.
     """
     own = sorted(
         (line for line in log if line.call == call_id),
@@ -98,14 +110,14 @@
     if not own:
         return []
     start_s = own[0].at_s
-    record = [_format_line(line, start_s) for line in own]
+    lines = [_format_line(line, start_s) for line in own]
     context = [line for line in log if _is_context(line, own)]
     context.sort(key=lambda line: line.at_s)
     if context:
-        record.append('Around it:')
-        record.extend(_format_line(line, start_s) for line in context)
-    record.extend(_count_others(log, own))
-    return record
+        lines.append('Around it:')
+        lines.extend(_format_line(line, start_s) for line in context)
+    lines.extend(_count_others(log, own))
+    return lines
 
 
 def _is_context(line: LogLine, own: Sequence[LogLine]) -> bool:
@@ -124,7 +136,7 @@
 
 
 def _count_others(log: Sequence[LogLine], own: Sequence[LogLine]) -> list[str]:
-    """Count the other requests that failed at the same servers."""
+    """Describe how many other requests failed at the same servers."""
     failures = {line.server: line.at_s for line in own if line.is_failure}
     others: defaultdict[str, set[str]] = defaultdict(set)
     for line in log:
@@ -141,14 +153,12 @@
 
 def _format_line(line: LogLine, start_s: float) -> str:
     fields = ' '.join(
-        f'{name}={text}'
-        for name, text in line.fields.items()
-        if name not in COMMON_FIELDS and text != ''
-    )
-    record = (
-        f'{line.at_s - start_s:+8.3f} s {line.instance} {line.text} {fields}'
+        f'{name}={content}'
+        for name, content in line.fields.items()
+        if name not in COMMON_FIELDS and content != ''
     )
-    return f'{record.rstrip()}{_meaning(line)}'
+    text = f'{line.at_s - start_s:+8.3f} s {line.instance} {line.text} {fields}'
+    return f'{text.rstrip()}{_meaning(line)}'
 
 
 def _meaning(line: LogLine) -> str:
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -1,4 +1,4 @@
-"""Bring one request to its answer, over as many attempts as it may take."""
+"""Run one request until it is answered, with as many attempts as it needs."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,7 +37,8 @@
 BACKEND_RETRY_MS = 500
 MAX_ANSWER_BYTES = 8_388_608
 
-# Attempts that end for these reasons are not the backend server's fault.
+# Reasons for ending an attempt that do not count as failures of its backend
+# server.
 NOT_SERVER_FAULTS = frozenset((Code.retry_paused, Code.retry_backend_slow))
 RETRY_REASONS = MappingProxyType({
     Code.backend_unreachable: Code.retry_connect_failed,
@@ -50,13 +51,18 @@
 
 @dataclass(slots=True)
 class RunOutcome:
-    """Collect how a request went.
-
-    :param code: numbered code that ended it, none for a whole answer.
-    :param gone: whether the caller went away.
-    :param waited_ms: arrival to the first slot.
-    :param first_ms: arrival to the first token, 0 before it.
-    :param token_ms: mean time between tokens.
+    """Result and latencies of a request, filled in while it runs.
+
+    :param code: code of the error that ended it, ``None`` after a complete
+        answer.
+    :param caller_gone: whether the caller disconnected.
+    :param status: HTTP status of the answer, 0 for a stream or for no answer.
+    :param body: body of the answer, empty where it was streamed.
+    :param tokens: tokens passed on to the caller.
+    :param waited_ms: time from arrival to the first slot.
+    :param first_ms: time from arrival to the first token, 0 before it; for a
+        service, to the complete answer.
+    :param token_ms: mean time between tokens, 0 with fewer than two.
     """
 
     request_id: str
@@ -70,16 +76,22 @@
     token_ms: float = 0
 
     def meets_targets(self, class_settings: ClassSettings) -> bool:
-        """Tell whether the latency targets of a class were met."""
+        """Return whether both latency targets of a class were met."""
         in_time = self.first_ms <= class_settings.first_token_ms
         return in_time and self.token_ms <= class_settings.token_ms
 
 
 @dataclass(frozen=True, slots=True)
 class RunContext:
-    """Hold what every run works with.
-
-    :param tells_priority: whether engines are told the tier.
+    """Parts of the process that every request uses.
+
+    :param name: name of this instance.
+    :param budget: retry budgets of the request classes.
+    :param note_retry: counts a retry by its reason.
+    :param address_of: returns the address of a backend server, empty where it
+        is not listed.
+    :param sends_priority: whether engines are sent the tier as a priority;
+        otherwise they all get 0.
     """
 
     name: str
@@ -93,7 +105,11 @@
 
 
 class RequestRun:
-    """Own one request from its check to its end."""
+    """One request, from its validation until it has ended.
+
+    :ivar stream_started: whether the head of a stream was sent to the caller.
+    :ivar ran: whether a backend server ran the request, as far as is known.
+    """
 
     def __init__(
         self,
@@ -103,7 +119,10 @@
         request_id: str,
         arrived_s: float,
     ) -> None:
-        """Start before the first attempt."""
+        """Prepare the request; nothing is sent before ``answer``.
+
+        :param arrived_s: arrival of the request, on the event loop's clock.
+        """
         self._context = context
         self._call = call
         self._caller = caller
@@ -134,11 +153,12 @@
         return may_repeat and self._pause_count < MAX_PAUSES
 
     async def answer(self, *, keep_alive: bool) -> None:
-        """Answer the caller wholly.
+        """Make attempts until the caller has its complete answer.
 
-        :raises RefusedError: where the request was given up on.
-        :raises BackendError: where a backend server failed it for good.
-        :raises CallerDisconnectedError: where the caller went away.
+        :param keep_alive: whether the answer leaves the connection open.
+        :raises RefusedError: if the broker refused the request.
+        :raises BackendError: if an attempt failed and no retry is allowed.
+        :raises CallerDisconnectedError: if the caller disconnected.
         """
         self._keep_alive = keep_alive
         self._caller.on_lost = self._on_caller_lost
@@ -158,28 +178,28 @@
         raise BackendError(Code.retry_budget_spent)
 
     def write_error_event(self, error: SiskinpassError) -> None:
-        """Tell of an error within a stream that has begun."""
+        """Send an error as an event of a stream that has started."""
         body = error_body(error.code, str(error), error.retry_after_ms)
         self._caller.write_chunk(b'event: error\ndata: %b\n\n' % body)
 
     def granted(self, server: str) -> None:
-        """Take in that the ticket has a slot."""
+        """Continue with the slot that the broker granted on a server."""
         if self._slot is not None and not self._slot.done():
             self._slot.set_result(server)
 
     def refused(self, refusal: Refused) -> None:
-        """Take in that the ticket is given up on."""
+        """End the request with the broker's refusal of its ticket."""
         if self._slot is not None and not self._slot.done():
             error = RefusedError(refusal.code, '', refusal.retry_after_ms)
             self._slot.set_exception(error)
 
     def paused(self) -> None:
-        """Make room for an upper tier."""
+        """Abort the attempt, to resume it later, for a more urgent tier."""
         if self._attempt is not None:
             self._attempt.abort(BackendError(Code.retry_paused))
 
     def moved(self) -> None:
-        """Go on at another backend server."""
+        """Abort the attempt, to resume it on another backend server."""
         if self._attempt is not None:
             self._attempt.abort(BackendError(Code.retry_backend_slow))
 
@@ -234,11 +254,12 @@
         address = self._context.address_of(server)
         self._avoid = server
         if not address:
-            raise ConnectError(Code.backend_unreachable, f'no {server}')
-        is_fresh = not self._call.repeatable
-        connection = await self._context.backends.connect(
-            address, is_fresh=is_fresh
-        )
+            raise ConnectError(
+                Code.backend_unreachable,
+                f'no address for backend server {server}',
+            )
+        fresh = not self._call.repeatable
+        connection = await self._context.backends.connect(address, fresh=fresh)
         if not self._caller.is_open:
             connection.cancel()
             raise CallerDisconnectedError(Code.stream_cut)
@@ -249,7 +270,7 @@
             self._forward,
         )
         self._attempt = attempt
-        # From here on the backend server may have run the request.
+        # The backend server may run the request from here on.
         self.ran = Ran.unknown
         attempt.start(connection, self._request(address))
         self._context.stream_monitor.add(attempt)
@@ -276,10 +297,11 @@
 
     def _check_answer(self, attempt: Attempt) -> None:
         if self._is_service:
-            told = attempt.headers.get('x-request-id')
-            if told != self.outcome.request_id:
+            echoed_id = attempt.headers.get('x-request-id')
+            if echoed_id != self.outcome.request_id:
                 self._events.clear()
                 raise BackendError(Code.answer_crossed)
+
             self.outcome.status = attempt.status
         self.ran = Ran.was_run
 
@@ -346,7 +368,7 @@
             self.outcome.token_ms = span_s * MS_PER_S / gaps
 
     def _prepare_retry(self, error: BackendError) -> None:
-        """Make ready for another attempt, or raise where there is none."""
+        """Reset the state for another attempt, or raise if none is allowed."""
         if self._parser is not None:
             self._parser.drop_partial()
         if self._is_service:
@@ -363,10 +385,11 @@
         self._context.note_retry(RETRY_REASONS.get(error.code, error.code))
 
     def _uses_retry_budget(self, error: BackendError) -> bool:
-        """Tell whether an attempt comes out of the retry budget.
+        """Return whether a retry counts against the retry budget.
 
-        A stream that has begun must be brought to its end, and a connection
-        that was refused cost the backend server nothing.
+        It does not if tokens were already delivered, because such a stream has
+        to be completed, nor after a failed connect, which did not load the
+        backend server.
         """
         return not (self._has_tokens or isinstance(error, ConnectError))
 
@@ -375,7 +398,7 @@
 
     def _check_may_retry(self, error: BackendError) -> None:
         if isinstance(error, ConnectError):
-            # Nothing was sent in this attempt; an earlier one may have run.
+            # This attempt sent nothing, but an earlier one may have run.
             return
         if error.code is Code.retry_backend_leaving:
             self.ran = self.ran if self._has_tokens else Ran.not_run
--- a/src/siskinpass/process/serve.py
+++ b/src/siskinpass/process/serve.py
@@ -1,10 +1,11 @@
-"""Run one entry instance as a process."""
+"""Process of one entry instance."""
 
 import asyncio
 import os
 import signal
 
-# The event loop's library may use io_uring for files; it must not.
+# libuv may use io_uring for file operations, which must not happen here. It
+# reads this variable, so it is set before uvloop is imported.
 os.environ['UV_USE_IO_URING'] = '0'
 
 import uvloop
@@ -17,7 +18,11 @@
 
 
 def serve(settings: Settings) -> None:
-    """Serve until a termination signal, then finish what is open."""
+    """Serve until SIGTERM or SIGINT, then drain and return.
+
+    :raises SettingsError: if an operating system call fails, such as binding
+        an address.
+    """
     start_logs()
     uvloop.run(_serve(settings))
 
--- a/src/siskinpass/process/settings.py
+++ b/src/siskinpass/process/settings.py
@@ -1,4 +1,4 @@
-"""Check the settings of one process."""
+"""Settings of one process and their validation."""
 
 import ipaddress
 import ssl
@@ -20,19 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Hold the settings of one entry instance.
+    """Settings of one entry instance.
 
     Addresses are ``ip:port``.
 
     :param callers: address that callers connect to.
-    :param operators: address of the operators' side.
-    :param peers: address of heartbeats and broker sessions.
-    :param announced_callers: what ``/address`` tells, if not ``callers``.
-    :param announced_peers: what other instances are told, if not ``peers``.
-    :param platform: object store and instance list.
+    :param operators: address that operators connect to.
+    :param peers: address for heartbeats and broker sessions.
+    :param announced_callers: address that ``/address`` returns for this
+        instance, if not ``callers``.
+    :param announced_peers: address that other instances use for this one, if
+        not ``peers``.
+    :param platform: address of the object store and the list of instances.
     :param threads: request threads of CherryPy's server.
     :param decisions: ``shared`` for one broker for all instances. The others
-        are baselines in which each instance decides for itself:
+        are baselines in which each instance decides on its own:
         ``priority-local``, ``least-outstanding`` and ``fifo-random``.
     """
 
@@ -56,7 +58,7 @@
 
 
 def check_settings(settings: Settings) -> None:
-    """Check the settings.
+    """Validate the settings, including the files that they name.
 
     :raises SettingsError: for the first setting that is wrong.
     """
@@ -87,11 +89,16 @@
 def _check_keys(settings: Settings) -> None:
     for name in ('operator_key', 'peer_key'):
         if len(getattr(settings, name)) < MIN_KEY_LENGTH:
-            raise _settings_error(name, f'is shorter than {MIN_KEY_LENGTH}')
+            raise _settings_error(
+                name, f'is shorter than {MIN_KEY_LENGTH} characters'
+            )
 
 
 def load_tls(settings: Settings) -> ssl.SSLContext | None:
-    """Return the TLS context of callers' and operators' sides, or none."""
+    """Return the TLS context for callers and operators, ``None`` without TLS.
+
+    :raises SettingsError: if the certificate or its key cannot be loaded.
+    """
     if settings.certificate is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -105,7 +112,12 @@
 
 
 def load_peer_security(settings: Settings) -> PeerSecurity:
-    """Return what the instances show each other."""
+    """Return the credentials with which instances authenticate to each other.
+
+    With a certificate, connections use mutual TLS.
+
+    :raises SettingsError: if a certificate or key cannot be loaded.
+    """
     if settings.peer_certificate is None:
         return PeerSecurity(settings.peer_key)
     server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -153,7 +165,7 @@
     try:
         ipaddress.ip_address(host)
     except ValueError as error:
-        raise _settings_error(name, f'is not an IP number: {host}') from error
+        raise _settings_error(name, f'is not an IP address: {host}') from error
 
 
 def _settings_error(name: str, reason: str) -> SettingsError:
--- a/src/siskinpass/process/status.py
+++ b/src/siskinpass/process/status.py
@@ -1,7 +1,8 @@
-"""Merge the counts of all instances and judge every promise.
+"""Merge the counts of all instances and evaluate the service-level promises.
 
-The holder of the status lease asks its peers for their counts each second,
-judges, and writes the result to the object store; each instance can tell it.
+The holder of the status lease reads its peers' counts each second, evaluates
+the promises and writes the result to the object store. The other instances read
+it from there, so that each can report it.
 """
 
 import asyncio
@@ -44,7 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Alarm:
-    """Describe one breach that was raised or cleared."""
+    """A breach that was raised or cleared.
+
+    :param node: path of the request class in the settings tree.
+    :param state: ``raised`` or ``cleared``.
+    :param at: Unix time.
+    """
 
     node: str
     state: str
@@ -54,9 +60,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusContext:
-    """Hold what the status is made from.
+    """Parts of the process that the status is computed from.
 
-    :param members: gives the live members.
+    :param name: name of this instance.
+    :param counts: counts of this instance.
+    :param members: returns the live members.
     """
 
     name: str
@@ -68,14 +76,17 @@
 
 
 class StatusAggregator:
-    """Judge the promises while the lease is held."""
+    """Evaluates all promises while the lease is held, else reads the result.
+
+    :ivar document: the latest status document, computed here or read.
+    """
 
     def __init__(
         self,
         context: StatusContext,
         lease: LeaseKeeper,
     ) -> None:
-        """Start with nothing judged."""
+        """Create an aggregator; requires a running event loop."""
         self._own = context.name
         self._store = context.store
         self._links = context.links
@@ -97,7 +108,10 @@
         self.document: dict[str, Any] = {'promises': {}, 'alarms': []}
 
     async def run(self) -> None:
-        """Judge each second while the lease is held, else read."""
+        """Evaluate each second while the lease is held, else read the result.
+
+        Runs until cancelled. A step that the store does not answer is skipped.
+        """
         while True:
             await asyncio.sleep(INTERVAL_S)
             with suppress(StoreError):
@@ -109,7 +123,7 @@
             self._breach_watches.clear()
             await self._read()
             return
-        # The current second is still being counted.
+        # The current second is incomplete, so the one before it is the last.
         last = int(self._loop.time()) - 1
         if last <= self._last_evaluated:
             return
@@ -141,7 +155,7 @@
         self._merge(name, last, reply.last_second, reply.counts)
 
     def _last_merged_second(self, name: str) -> int:
-        """Return the last second of an instance that was merged."""
+        """Return the last second of an instance's counts that was merged."""
         return self._last_merged.get(name, 0)
 
     def _merge(
@@ -244,7 +258,9 @@
         try:
             await self._store.replace(STATUS_KEY, body, stored.version)
         except StoreConflictError:
-            self._log.warn('Another instance wrote the status.')
+            self._log.warn(
+                'The status was not written: another instance wrote it first.'
+            )
 
     async def _read(self) -> None:
         if self._loop.time() - self._read_at_s < READ_INTERVAL_S:
@@ -260,7 +276,11 @@
     second: int,
     last: int,
 ) -> list[pb.NodeCounts]:
-    """Encode the tallies after one second, up to the last whole one."""
+    """Return the tallies of complete seconds in the form sent to peers.
+
+    :param second: only seconds after this one are included.
+    :param last: the last complete second, from which ages are counted.
+    """
     return [
         _encode_tally(node, last - at, tally)
         for at, node, tally in counts.after(second)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -49,7 +49,7 @@
     @pytest.mark.parametrize(
         ('name', 'text', 'wanted'),
         [
-            ('callers', 'localhost:80', 'callers is not an IP number'),
+            ('callers', 'localhost:80', 'callers is not an IP address'),
             ('peers', '127.0.0.1', 'peers is not ip:port'),
             ('platform', '127.0.0.1:99999', 'platform is not ip:port'),
             ('peer-key', 'short', 'peer_key is shorter'),
