--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Test the whole path with real processes."""
+"""Test callers' and operators' requests on real processes."""
 
 import json
 from pathlib import Path
@@ -20,78 +20,80 @@
 
 
 def head(cluster, *lines, method='POST', path='/v1/completions', key=None):
-    """Return the start of a request as bytes."""
-    given = cluster.keys['centro'] if key is None else key
-    start = [
+    """Return the head of a request as bytes."""
+    api_key = cluster.keys['centro'] if key is None else key
+    head_lines = [
         f'{method} {path} HTTP/1.1',
         'Host: x',
-        f'Authorization: Bearer {given}',
+        f'Authorization: Bearer {api_key}',
         *lines,
     ]
-    return '\r\n'.join(start).encode() + b'\r\n\r\n'
+    return '\r\n'.join(head_lines).encode() + b'\r\n\r\n'
 
 
-def with_body(cluster, body, *lines, **more):
-    """Return a whole request as bytes."""
+def with_body(cluster, body, *lines, **head_fields):
+    """Return a complete request as bytes."""
     text = body if isinstance(body, bytes) else json.dumps(body).encode()
     length = f'Content-Length: {len(text)}'
-    return head(cluster, 'Connection: close', length, *lines, **more) + text
+    return (
+        head(cluster, 'Connection: close', length, *lines, **head_fields) + text
+    )
 
 
-ASKED = {'model': 'fieltro-chat', 'prompt': 'hi', 'metadata': {'tokens': 3}}
+BODY = {'model': 'fieltro-chat', 'prompt': 'hi', 'metadata': {'tokens': 3}}
 COUNTER = 'X-Siskinpass-Class: counter'
 
 BAD_INPUTS = [
     (
         'malformed JSON',
-        lambda made: with_body(made, b'{"model', COUNTER),
+        lambda cluster: with_body(cluster, b'{"model', COUNTER),
         Code.malformed_json,
     ),
     (
-        'JSON that is no object',
-        lambda made: with_body(made, b'[1]', COUNTER),
+        'JSON that is not an object',
+        lambda cluster: with_body(cluster, b'[1]', COUNTER),
         Code.malformed_json,
     ),
     (
         'a head that is too large',
-        lambda made: head(made, 'X-Long: ' + 'x' * 40_000),
+        lambda cluster: head(cluster, 'X-Long: ' + 'x' * 40_000),
         Code.header_too_large,
     ),
     (
         'a body that is too large',
-        lambda made: head(made, COUNTER, 'Content-Length: 99999999'),
+        lambda cluster: head(cluster, COUNTER, 'Content-Length: 99999999'),
         Code.body_too_large,
     ),
     (
-        'a request line that is none',
-        lambda made: b'WHAT\r\n\r\n',
+        'a malformed request line',
+        lambda cluster: b'WHAT\r\n\r\n',
         Code.malformed_head,
     ),
     (
-        'a length that is none',
-        lambda made: head(made, COUNTER, 'Content-Length: many'),
+        'a length that is not a number',
+        lambda cluster: head(cluster, COUNTER, 'Content-Length: many'),
         Code.malformed_head,
     ),
     (
         'a header given twice',
-        lambda made: with_body(made, ASKED, COUNTER, COUNTER),
+        lambda cluster: with_body(cluster, BODY, COUNTER, COUNTER),
         Code.duplicate_header,
     ),
     (
         'a chunked body',
-        lambda made: head(made, COUNTER, 'Transfer-Encoding: chunked'),
+        lambda cluster: head(cluster, COUNTER, 'Transfer-Encoding: chunked'),
         Code.length_required,
     ),
     (
         'an unknown key',
-        lambda made: with_body(made, ASKED, COUNTER, key='wrong'),
+        lambda cluster: with_body(cluster, BODY, COUNTER, key='wrong'),
         Code.unknown_key,
     ),
     (
         "another workspace's name",
-        lambda made: with_body(
-            made,
-            ASKED,
+        lambda cluster: with_body(
+            cluster,
+            BODY,
             COUNTER,
             'X-Siskinpass-Workspace: norte',
         ),
@@ -99,38 +101,38 @@
     ),
     (
         'an unknown class',
-        lambda made: with_body(made, ASKED, 'X-Siskinpass-Class: none'),
+        lambda cluster: with_body(cluster, BODY, 'X-Siskinpass-Class: none'),
         Code.unknown_class,
     ),
     (
         'no class',
-        lambda made: with_body(made, ASKED),
+        lambda cluster: with_body(cluster, BODY),
         Code.unknown_class,
     ),
     (
         'an unknown model',
-        lambda made: with_body(made, {**ASKED, 'model': 'x'}, COUNTER),
+        lambda cluster: with_body(cluster, {**BODY, 'model': 'x'}, COUNTER),
         Code.unknown_model,
     ),
     (
         'a prompt of a wrong type',
-        lambda made: with_body(made, {**ASKED, 'prompt': 3}, COUNTER),
+        lambda cluster: with_body(cluster, {**BODY, 'prompt': 3}, COUNTER),
         Code.wrong_field,
     ),
     (
         'too many tokens',
-        lambda made: with_body(
-            made,
-            {**ASKED, 'max_tokens': 10**9},
+        lambda cluster: with_body(
+            cluster,
+            {**BODY, 'max_tokens': 10**9},
             COUNTER,
         ),
         Code.wrong_field,
     ),
     (
-        'an unknown mark of repeatability',
-        lambda made: with_body(
-            made,
-            ASKED,
+        'an unknown value of the repeatable header',
+        lambda cluster: with_body(
+            cluster,
+            BODY,
             COUNTER,
             'X-Siskinpass-Repeatable: maybe',
         ),
@@ -138,31 +140,33 @@
     ),
     (
         'a class of another pool',
-        lambda made: with_body(made, ASKED, 'X-Siskinpass-Class: order'),
+        lambda cluster: with_body(cluster, BODY, 'X-Siskinpass-Class: order'),
         Code.unknown_path,
     ),
     (
         'an unknown path',
-        lambda made: with_body(made, ASKED, path='/v2/none'),
+        lambda cluster: with_body(cluster, BODY, path='/v2/none'),
         Code.unknown_path,
     ),
     (
         'a wrong method',
-        lambda made: head(made, COUNTER, 'Connection: close', method='GET'),
+        lambda cluster: head(
+            cluster, COUNTER, 'Connection: close', method='GET'
+        ),
         Code.wrong_method,
     ),
 ]
 
 
 class TestBadInput:
-    """Test that each wrong request gets its numbered error."""
+    """Test that each invalid request is answered with its error code."""
 
     @pytest.mark.parametrize(
         ('make', 'code'),
         [pytest.param(make, code, id=name) for name, make, code in BAD_INPUTS],
     )
-    def test_is_answered_and_survived(self, cluster, make, code):
-        """The caller gets a code, and the process lives on."""
+    def test_gets_error_and_process_survives(self, cluster, make, code):
+        """The caller gets the code, and the process serves the next request."""
         entry = cluster.entries[0]
         answer = raw(entry.callers, make(cluster))
         assert b'X-Siskinpass-Code: %d\r\n' % code in answer
@@ -170,31 +174,31 @@
         assert ask([counter()], target(cluster, entry))[0].whole
 
     def test_body_cut_short(self, cluster):
-        """A body that ends early is told from a slow one."""
+        """A body that ends early has another code than a slow one."""
         wire = head(cluster, COUNTER, 'Content-Length: 90') + b'{'
         answer = raw(cluster.entries[0].callers, wire, end=True)
         assert b'X-Siskinpass-Code: 1006\r\n' in answer
 
     @pytest.mark.parametrize('sent', [b'POST /v1/comp', None])
     def test_slow_sender(self, cluster, sent):
-        """A sender that stops is answered after the read limit."""
+        """A sender that stops is answered with an error after a time limit."""
         wire = sent or head(cluster, COUNTER, 'Content-Length: 90') + b'{'
         answer = raw(cluster.entries[0].callers, wire)
         assert b'X-Siskinpass-Code: 1005\r\n' in answer
 
 
 class TestPath:
-    """Test what a caller sees."""
+    """Test what callers get from the whole deployment."""
 
     def test_answers_are_whole_at_every_entry(self, cluster):
-        """Streams, whole answers and service calls work everywhere."""
+        """Streams, whole answers and service calls work at every entry."""
         jobs = [counter(at_s=number / 50) for number in range(12)]
         jobs += [counter(stream=False), order(), pattern()]
         assert all(answer.whole for answer in ask(jobs, target(cluster)))
 
     @pytest.mark.parametrize('stream', [False, True])
     def test_stock_client(self, cluster, stream):
-        """The usual client library works unchanged."""
+        """OpenAI's client library works unchanged."""
         client = openai.OpenAI(
             base_url=f'http://{cluster.entries[1].callers}/v1',
             api_key=cluster.keys['sur'],
@@ -219,23 +223,23 @@
         ]
 
     def test_address_names_one_instance_per_zone(self, cluster):
-        """Callers are spread over the zones, their own first."""
+        """The caller's own zone comes first, then one of each other zone."""
         url = f'http://{cluster.entries[0].callers}/address?zone=b'
-        told = cluster.http.request('GET', url).json()
-        zones = [found['zone'] for found in told['addresses']]
+        document = cluster.http.request('GET', url).json()
+        zones = [found['zone'] for found in document['addresses']]
         assert zones[0] == 'b'
         assert sorted(zones) == ['a', 'b', 'c']
-        assert told['keep_s'] > 0
+        assert document['keep_s'] > 0
 
     def test_connection_is_kept(self, cluster):
-        """Two requests in a row use one connection."""
-        wire = with_body(cluster, ASKED, COUNTER)
-        kept = wire.replace(b'Connection: close\r\n', b'')
-        answer = raw(cluster.entries[0].callers, kept + wire)
+        """Two consecutive requests can use one connection."""
+        wire = with_body(cluster, BODY, COUNTER)
+        reused = wire.replace(b'Connection: close\r\n', b'')
+        answer = raw(cluster.entries[0].callers, reused + wire)
         assert answer.count(b'HTTP/1.1 200 OK') == 2
 
-    def test_process_has_no_io_uring(self, cluster):
-        """The event loop's library does not open io_uring."""
+    def test_process_does_not_use_io_uring(self, cluster):
+        """No file descriptor of the process is an io_uring."""
         pid = cluster.entries[0].process.pid
         names = [
             str(link.readlink())
@@ -247,42 +251,42 @@
 
 
 class TestOperators:
-    """Test the operators' side."""
+    """Test the pages for operators."""
 
-    def test_key_is_asked_for(self, cluster):
-        """Nobody reads the tree without the operators' key."""
+    def test_operator_key_is_required(self, cluster):
+        """Without the operators' key the tree cannot be read."""
         url = f'http://{cluster.entries[0].operators}/tree'
         answer = cluster.http.request('GET', url)
         assert answer.status == 401
         assert answer.headers['X-Siskinpass-Code'] == '5005'
 
-    def test_faults_are_all_named(self, cluster):
-        """A tree with faults is refused with path, line and reason."""
+    def test_every_tree_error_is_reported(self, cluster):
+        """All errors of a refused tree are reported with path and line."""
         text = (
             'deployment: x\nsettings: {tier: 99}\npools: {}\n'
             'workspaces: {a: {classes: {b: {tear: 1}}}}\n'
         )
-        told = cluster.propose(text, 1)['error']
-        assert told['code'] == 5001
-        assert 'settings/tier, line 2' in told['message']
-        assert 'workspaces/a/classes/b/tear, line 4' in told['message']
+        error = cluster.propose(text, 1)['error']
+        assert error['code'] == 5001
+        assert 'settings/tier, line 2' in error['message']
+        assert 'workspaces/a/classes/b/tear, line 4' in error['message']
 
     def test_refusals_are_counted_by_reason(self, cluster):
-        """Each refusal raises the counter of its code."""
+        """Each refusal increments the counter of its code."""
         name, label = 'siskinpass_refusals_total', 'code="1008"'
         before = metric_sum(cluster, name, label)
         entry = cluster.entries[0]
-        raw(entry.callers, with_body(cluster, ASKED, COUNTER, key='wrong'))
+        raw(entry.callers, with_body(cluster, BODY, COUNTER, key='wrong'))
         assert metric_sum(cluster, name, label) == before + 1
 
-    def test_status_tells_promises_and_versions(self, cluster):
-        """Operators read back what holds and where it is in force."""
+    def test_status_lists_promises_and_versions(self, cluster):
+        """The status shows the promises and the version of each instance."""
         ask([counter() for _ in range(12)], target(cluster))
         status = wait_until(
             lambda: (
-                told
+                document
                 if 'centro/counter'
-                in (told := cluster.status(cluster.entries[0]))['promises']
+                in (document := cluster.status(cluster.entries[0]))['promises']
                 else None
             ),
             'the promise in the status',
@@ -292,6 +296,6 @@
         assert status['promises']['centro/counter']['requests'] > 0
 
     def test_no_caller_port_serves_operators(self, cluster):
-        """The operators' pages are not on the callers' port."""
+        """The operators' pages are not served on the callers' port."""
         url = f'http://{cluster.entries[0].callers}/tree'
         assert cluster.http.request('GET', url).status == 404
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Test how a failed request is explained from the logs alone."""
+"""Test that the logs alone explain why a request failed."""
 
 import asyncio
 import io
@@ -16,7 +16,7 @@
 
 
 async def cut_by_crash(fleet):
-    """Break a stream off that may not be resumed."""
+    """Cut a stream that must not be resumed."""
     for worker in fleet.workers:
         worker.faults.cuts = 1
     answer = await fleet.ask('/plain-stream/x', call=CALL_ID)
@@ -24,14 +24,14 @@
 
 
 async def refused_under_load(fleet):
-    """Fill every slot, so that one more request waits in vain."""
+    """Fill every slot, so that another request waits until it is refused."""
     for worker in fleet.workers:
         worker.faults.silent = OTHER_COUNT
     tasks = [
         asyncio.ensure_future(fleet.ask('/once/x', call=f'other-{number}'))
         for number in range(OTHER_COUNT)
     ]
-    await wait_until(lambda: len(fleet.runs) >= 18, 'all slots taken')
+    await wait_until(lambda: len(fleet.runs) >= 18, 'all slots to be taken')
     answer = await fleet.ask('/once/x', call=CALL_ID)
     assert answer.status == 503
     for task in tasks:
@@ -39,7 +39,7 @@
 
 
 async def refused_after_key_removed(fleet):
-    """Take the caller's key away."""
+    """Remove the caller's key from the configuration."""
     changed = config(4) | {'tenants': [{'name': 'w', 'api-keys': ['new']}]}
     await fleet.store.put('config', 'main', changed)
 
@@ -47,13 +47,13 @@
         answer = await fleet.ask('/once/x', call='probe')
         return answer.status == 401
 
-    await wait_until(is_refused, 'the key is gone')
+    await wait_until(is_refused, 'the removal of the key')
     answer = await fleet.ask('/once/x', call=CALL_ID, key=KEY)
     assert answer.status == 401
 
 
 async def timeline_after(fail):
-    """Return what is told of a request that was made to fail."""
+    """Return the timeline of a request that was made to fail."""
     async with running_fleet() as fleet:
         await fail(fleet)
         await asyncio.sleep(0.2)
@@ -61,10 +61,10 @@
 
 
 class TestTimelineOfFailures:
-    """Test the way from an id to the cause over real instances."""
+    """Test on running instances that the timeline shows the cause."""
 
     @pytest.mark.parametrize(
-        ('fail', 'told'),
+        ('fail', 'expected'),
         [
             (
                 cut_by_crash,
@@ -83,8 +83,8 @@
             ),
         ],
     )
-    def test_cause_is_told(self, fail, expected):
-        """The story names the cause, and the instance."""
+    def test_timeline_names_the_cause(self, fail, expected):
+        """The timeline names the cause and the instance, but no other calls."""
         timeline = asyncio.run(asyncio.wait_for(timeline_after(fail), 60))
         text = '\n'.join(timeline)
         for words in expected:
@@ -93,7 +93,7 @@
         assert 'other-' not in text
 
     def test_request_that_waited_did_not_run(self):
-        """A refusal under load shows no server: nothing ran."""
+        """A request that was refused while queued was sent to no server."""
         timeline = asyncio.run(
             asyncio.wait_for(timeline_after(refused_under_load), 60)
         )
@@ -117,10 +117,10 @@
 
 
 class TestParsedLogs:
-    """Test what is taken from logs of many instances."""
+    """Test the timeline built from given log lines of several instances."""
 
-    def test_order_and_surroundings(self):
-        """Lines come in order of time, with what happened around them."""
+    def test_own_lines_precede_context(self):
+        """The request's lines come in order of time, then those around them."""
         timeline = build_timeline(tuple(read_log(LOG.splitlines())), 'a')
         assert [line.split(' s ')[0].strip() for line in timeline[:2]] == [
             '+0.000',
@@ -134,7 +134,7 @@
         ]
 
     def test_unknown_id(self, monkeypatch):
-        """An id that no line names is told apart by the status."""
+        """For an id that is not in the logs, the exit status says so."""
         monkeypatch.setattr(
             sys, 'stdin', SimpleNamespace(buffer=io.BytesIO(LOG))
         )
@@ -143,7 +143,7 @@
         assert ended.value.code == STATUS_UNKNOWN
 
     def test_known_id(self, monkeypatch, capsys):
-        """The story goes to standard output."""
+        """The timeline is written to standard output."""
         monkeypatch.setattr(
             sys, 'stdin', SimpleNamespace(buffer=io.BytesIO(LOG))
         )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Bring about the failures that the promises must survive."""
+"""Test that running deployments keep their promises through failures."""
 
 import signal
 import threading
@@ -19,7 +19,10 @@
 
 
 def in_background(jobs, where):
-    """Send jobs from another thread; return a function that waits."""
+    """Send jobs from another thread.
+
+    :returns: a function that waits for the answers and returns them.
+    """
     answers = []
 
     def send():
@@ -36,7 +39,7 @@
 
 
 def open_streams(cluster):
-    """Return how many streams the engines have open."""
+    """Return the number of open streams that sent more than three tokens."""
     return sum(
         run['end'] == 'open' and run['sent'] > 3
         for name in cluster.plan.engines
@@ -47,20 +50,20 @@
 
 
 def broker_entry(cluster, group='lm'):
-    """Return the entry that holds the broker of a group."""
+    """Return the entry that hosts the broker of a group."""
     for entry in cluster.entries:
         if entry.process.poll() is not None:
             continue
         if group in cluster.status(entry)['brokers']:
             return entry
-    raise AssertionError('no broker')
+    raise AssertionError(f'no entry hosts the broker of {group}')
 
 
 class TestEngines:
-    """Test engines that crash, fall silent, cross answers or leave."""
+    """Test engines that crash, stall, mix up answers or leave."""
 
-    def test_streams_of_a_crashed_engine_go_on(self, fresh):
-        """The caller gets one whole answer, no token lost or doubled."""
+    def test_streams_of_crashed_engine_are_resumed(self, fresh):
+        """Each caller gets a complete answer, no token lost or duplicated."""
         jobs = [pattern(tokens=250) for _ in range(9)]
         wait = in_background(jobs, target(fresh))
         wait_until(lambda: open_streams(fresh) == 9, 'nine open streams')
@@ -69,7 +72,7 @@
         assert metric_sum(fresh, RETRIES, 'reason="retry_stream_cut"') > 0
 
     def test_silent_connections_are_replaced(self, healed):
-        """A stream that falls silent for good goes on over a new one."""
+        """A stream whose connection stays silent is resumed over a new one."""
         jobs = [pattern(tokens=250) for _ in range(6)]
         wait = in_background(jobs, target(healed))
         wait_until(lambda: open_streams(healed) >= 6, 'six open streams')
@@ -79,8 +82,8 @@
         reason = 'reason="retry_stream_silent"'
         assert metric_sum(healed, RETRIES, reason) >= 6
 
-    def test_crossed_answer_is_fetched_anew(self, healed):
-        """An answer for another request never reaches the caller."""
+    def test_crossed_answer_is_retried(self, healed):
+        """An answer to another request is retried and never passed on."""
         for name in healed.plan.engines:
             healed.order(name, {'cross': 1}, '/admin/cross')
         answers = ask([counter() for _ in range(6)], target(healed))
@@ -90,8 +93,8 @@
         reason = 'reason="retry_answer_crossed"'
         assert metric_sum(healed, RETRIES, reason) > 0
 
-    def test_leaving_engine_gets_nothing_new(self, healed):
-        """An engine that the list calls leaving is left alone everywhere."""
+    def test_leaving_engine_gets_no_requests(self, healed):
+        """No entry uses an engine that the list of instances calls leaving."""
         leaving = {'name': 'engine-1', 'state': 'leaving'}
         healed.order('platform', [leaving], '/admin/instances')
         try:
@@ -99,7 +102,7 @@
                 lambda: all(
                     _is_leaving(healed, entry) for entry in healed.entries
                 ),
-                'all brokers to know',
+                'all brokers to see that the engine is leaving',
             )
             before = set(healed.read('engine-1', '/log'))
             answers = ask([counter() for _ in range(20)], target(healed))
@@ -118,26 +121,26 @@
 
 
 class TestAtMostOnce:
-    """Test orders, which must not run twice."""
+    """Test orders, which must run at most once."""
 
     def test_repeated_key_gets_the_stored_answer(self, healed):
-        """A caller's own retry at another entry runs nothing again."""
+        """A caller's retry at another entry does not run the order again."""
         first, second = healed.entries[:2]
         where = target(healed, first)
         where.seed = 11
-        again = target(healed, second)
-        again.seed = 11
+        where_again = target(healed, second)
+        where_again.seed = 11
         one = ask([order()], where)[0]
         assert one.whole
         wait_until(
-            lambda: ask([order()], again)[0].status == 200,
+            lambda: ask([order()], where_again)[0].status == 200,
             'the stored answer',
         )
         runs = [body for body in service_runs(healed) if 's11n0' in body]
         assert len(runs) == 1
 
     def test_store_down_means_not_run(self, healed):
-        """Without the store an order is refused, and it did not run."""
+        """If the store is down, an order is refused without running it."""
         healed.order('platform', {'down': True}, '/admin/store')
         where = target(healed)
         where.seed = 12
@@ -148,7 +151,7 @@
         assert not [body for body in service_runs(healed) if 's12n' in body]
 
     def test_lost_confirmation_of_a_claim(self, healed):
-        """A claim whose confirmation was lost is known by its nonce."""
+        """A claim whose confirmation was lost is recognized by its nonce."""
         lose = {'lose_confirmations': 2}
         healed.order('platform', lose, '/admin/store')
         where = target(healed)
@@ -162,7 +165,7 @@
         assert not [n for n in not_run if f'"order":"s13n{n}"' in str(runs)]
 
     def test_cut_service_call_is_unknown_and_not_repeated(self, healed):
-        """A call that may have run is told as unknown, never sent again."""
+        """A call that may have run is not retried; its outcome is unknown."""
         for name in healed.plan.services:
             healed.fault(name=name, kind='set', drop_back=True)
             healed.order(name, {'slow': 100}, '/admin/slow')
@@ -183,18 +186,20 @@
 
 
 class TestTree:
-    """Test edits under races and outages."""
+    """Test edits of the tree with races and outages."""
 
     def test_two_operators_at_once(self, healed):
-        """Disjoint edits both hold; edits of one node conflict."""
-        told = healed.operate('GET', '/tree')
-        base, tree = told['version'], told['tree']
-        mine = _edited(tree, 'norte', 'summary', 'max_wait_ms', 50_001)
-        theirs = _edited(tree, 'sur', 'summary', 'max_wait_ms', 50_002)
-        clash = _edited(tree, 'norte', 'summary', 'max_wait_ms', 50_003)
-        assert healed.propose(mine, base)['version'] == base + 1
-        assert healed.propose(theirs, base)['version'] == base + 2
-        error = healed.propose(clash, base)['error']
+        """Disjoint edits are both accepted; edits of one node conflict."""
+        current = healed.operate('GET', '/tree')
+        base, tree = current['version'], current['tree']
+        first_edit = _edited(tree, 'norte', 'summary', 'max_wait_ms', 50_001)
+        second_edit = _edited(tree, 'sur', 'summary', 'max_wait_ms', 50_002)
+        conflicting_edit = _edited(
+            tree, 'norte', 'summary', 'max_wait_ms', 50_003
+        )
+        assert healed.propose(first_edit, base)['version'] == base + 1
+        assert healed.propose(second_edit, base)['version'] == base + 2
+        error = healed.propose(conflicting_edit, base)['error']
         assert error['code'] == Code.tree_conflict
         assert error['changed'][0]['new'] == 50_001
         after = healed.operate('GET', '/tree')['tree']['workspaces']
@@ -202,21 +207,23 @@
         assert after['sur']['classes']['summary']['max_wait_ms'] == 50_002
 
     def test_edit_with_lost_confirmation_is_accepted_once(self, healed):
-        """An edit is found by its nonce, not made twice."""
-        told = healed.operate('GET', '/tree')
-        base, tree = told['version'], told['tree']
-        mine = _edited(tree, 'plaza', 'summary', 'max_wait_ms', 51_000 + base)
+        """An edit whose confirmation was lost is recognized by its nonce."""
+        current = healed.operate('GET', '/tree')
+        base, tree = current['version'], current['tree']
+        first_edit = _edited(
+            tree, 'plaza', 'summary', 'max_wait_ms', 51_000 + base
+        )
         lose = {'lose_confirmations': 3}
         healed.order('platform', lose, '/admin/store')
-        assert healed.propose(mine, base)['version'] == base + 1
+        assert healed.propose(first_edit, base)['version'] == base + 1
         healed.order('platform', {'lose_confirmations': 0}, '/admin/store')
         numbers = [edit['number'] for edit in healed.operate('GET', '/history')]
         assert numbers == sorted(set(numbers))
 
     def test_edit_is_in_force_everywhere(self, healed):
-        """Every instance comes to the accepted version."""
-        told = healed.operate('GET', '/tree')
-        base, tree = told['version'], told['tree']
+        """Every instance adopts the accepted version."""
+        current = healed.operate('GET', '/tree')
+        base, tree = current['version'], current['tree']
         edited = _edited(tree, 'taller', 'summary', 'max_wait_ms', 52_000)
         number = healed.propose(edited, base)['version']
         for entry in healed.entries:
@@ -226,7 +233,7 @@
             )
 
     def test_new_instance_starts_from_peers_while_store_is_down(self, fresh):
-        """A replaced instance takes the tree from its peers."""
+        """A restarted instance gets the tree from its peers."""
         third = fresh.entries[2]
         fresh.kill(third.process)
         fresh.order('platform', {'down': True}, '/admin/store')
@@ -237,7 +244,7 @@
         assert all(answer.whole for answer in answers)
 
     def test_instance_without_tree_is_not_ready(self, fresh):
-        """With neither store nor peers an instance says so."""
+        """Without store and peers an instance reports that it is not ready."""
         fresh.order('platform', {'down': True}, '/admin/store')
         for entry in fresh.entries:
             fresh.kill(entry.process)
@@ -251,7 +258,7 @@
 
 
 def _edited(tree, workspace, leaf, name, level):
-    """Return a tree with one setting changed."""
+    """Return a copy of a tree with one setting changed."""
     branch = tree['workspaces'][workspace]
     classes = {
         **branch['classes'],
@@ -265,10 +272,10 @@
 
 
 class TestInstances:
-    """Test entry instances that are killed, paused, cut off or leave."""
+    """Test entry instances that are killed, suspended, cut off or leave."""
 
     def test_broker_is_killed(self, fresh):
-        """Others take over; no caller of theirs sees it."""
+        """Other instances take over; requests at these do not fail."""
         ask([counter()], target(fresh))
         broker = broker_entry(fresh)
         others = [entry for entry in fresh.entries if entry is not broker]
@@ -279,8 +286,8 @@
         fresh.kill(broker.process)
         assert {answer.fault for answer in wait()} == {''}
 
-    def test_broker_is_paused_and_wakes(self, fresh):
-        """A paused broker is passed by, and is heard no more when it wakes."""
+    def test_broker_is_suspended_and_resumed(self, fresh):
+        """A suspended broker is replaced and does not act once it resumes."""
         ask([counter()], target(fresh))
         broker = broker_entry(fresh)
         others = [entry for entry in fresh.entries if entry is not broker]
@@ -293,7 +300,7 @@
         assert all(answer.whole for answer in ask(jobs, target(fresh)))
 
     def test_entry_is_cut_off_from_one_peer(self, healed):
-        """One-way loss between two instances loses no request."""
+        """One-way packet loss between two instances fails no request."""
         ask([counter()], target(healed))
         broker = broker_entry(healed)
         other = next(one for one in healed.entries if one is not broker)
@@ -309,7 +316,7 @@
         assert all(answer.whole for answer in answers)
 
     def test_graceful_stop_cuts_nothing(self, fresh):
-        """Open streams end whole; a new request is told it was not run."""
+        """Open streams complete; a new request is refused as not run."""
         first = fresh.entries[0]
         wait = in_background(
             [pattern(tokens=250) for _ in range(6)],
@@ -320,9 +327,10 @@
         others = fresh.entries[1:]
         wait_until(
             lambda: all(
-                first.name not in _told_names(fresh, entry) for entry in others
+                first.name not in _addressed_names(fresh, entry)
+                for entry in others
             ),
-            'the leaving instance to be told no more',
+            'the leaving instance not to be returned to callers',
         )
         refused = wait_until(
             lambda: [
@@ -338,7 +346,7 @@
         assert first.process.wait(30) == 0
 
     def test_replaced_instance_is_a_new_incarnation(self, fresh):
-        """An instance with the same address comes back after a kill."""
+        """A killed instance can rejoin with the same address."""
         second = fresh.entries[1]
         fresh.kill(second.process)
         wait_until(
@@ -348,7 +356,7 @@
                 ]
                 == 'dead'
             ),
-            'the death to be seen',
+            'the killed instance to be seen as dead',
         )
         fresh.start_entry(second)
         fresh.wait_http(second.callers, '/readyz')
@@ -356,17 +364,17 @@
         assert ask([counter()], target(fresh, second))[0].whole
 
 
-def _told_names(cluster, entry):
+def _addressed_names(cluster, entry):
     url = f'http://{entry.callers}/address'
-    told = cluster.http.request('GET', url).json()
-    return {found['name'] for found in told['addresses']}
+    document = cluster.http.request('GET', url).json()
+    return {found['name'] for found in document['addresses']}
 
 
 class TestPriority:
-    """Test that upper tiers do not wait behind lower ones."""
+    """Test that requests of upper tiers do not wait behind lower ones."""
 
     def test_counter_passes_waiting_patterns_of_other_entries(self, healed):
-        """Drafts at one entry do not hold up a counter request at another."""
+        """Drafts at one entry do not delay a counter request at another."""
         first, second = healed.entries[:2]
         wait = in_background(
             [pattern(tokens=120) for _ in range(120)],
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Test that logging is bounded and never waits."""
+"""Test that logging is bounded and does not block."""
 
 import os
 
@@ -10,55 +10,58 @@
 
 @pytest.fixture
 def pipe():
-    """Give both ends of a pipe."""
+    """Yield the read end and the write end of a pipe."""
     reader, writer = os.pipe()
-    with os.fdopen(reader, 'rb') as read, os.fdopen(writer, 'wb') as written:
-        yield read, written
+    with (
+        os.fdopen(reader, 'rb') as read_end,
+        os.fdopen(writer, 'wb') as write_end,
+    ):
+        yield read_end, write_end
 
 
 class TestLineWriter:
-    """Test a reader that stalls."""
+    """Test writing to a pipe whose reader stalls."""
 
-    def test_drops_lines_and_tells_how_many(self, pipe):
-        """A full pipe costs lines, in whole ones, and no waiting."""
-        read, written = pipe
-        writer = logs.LineWriter(written)
+    def test_full_pipe_drops_and_counts_lines(self, pipe):
+        """A full pipe does not block; whole lines are dropped and counted."""
+        read_end, write_end = pipe
+        writer = logs.LineWriter(write_end)
         line = b'x' * 999 + b'\n'
         for _ in range(1000):
             writer.write(line)
             writer.flush()
         dropped = writer.dropped
         assert dropped > 0
-        os.set_blocking(read.fileno(), False)
-        arrived = b''
-        while piece := read.read(1_000_000):
-            arrived += piece
+        os.set_blocking(read_end.fileno(), False)
+        received = b''
+        while chunk := read_end.read(1_000_000):
+            received += chunk
             writer.flush()
-        lines = arrived.splitlines(keepends=True)
+        lines = received.splitlines(keepends=True)
         assert set(lines[:-1]) == {line}
         assert orjson.loads(lines[-1])['lines'] == dropped
         assert len(lines) - 1 + dropped == 1000
 
 
 class TestComponentLog:
-    """Test ordinary lines under load."""
+    """Test the rate limit of routine lines."""
 
-    def test_leaves_out_ordinary_lines_only(self, monkeypatch):
-        """Beyond the bound ordinary lines are counted, others are written."""
-        seen = []
+    def test_only_routine_lines_are_suppressed(self, monkeypatch):
+        """Routine lines above the limit are counted, warnings still written."""
+        logged = []
         now = [5.0]
         monkeypatch.setattr(
             logs.eliot,
             'log_message',
-            lambda **fields: seen.append(fields),
+            lambda **fields: logged.append(fields),
         )
         monkeypatch.setattr(logs.time, 'monotonic', lambda: now[0])
-        part = logs.ComponentLog('part')
+        log = logs.ComponentLog('component')
         for _ in range(logs.MAX_ROUTINE_LINES + 7):
-            part.often('Ordinary.')
-        part.warn('A failure.')
-        assert len(seen) == logs.MAX_ROUTINE_LINES + 1
+            log.often('Routine.')
+        log.warn('A failure.')
+        assert len(logged) == logs.MAX_ROUTINE_LINES + 1
         now[0] += logs.RATE_PERIOD_S
-        part.often('Ordinary.')
-        told = [fields for fields in seen if 'lines' in fields]
-        assert [fields['lines'] for fields in told] == [7]
+        log.often('Routine.')
+        counted = [fields for fields in logged if 'lines' in fields]
+        assert [fields['lines'] for fields in counted] == [7]
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Test the counters and histograms over a real instance."""
+"""Test the metrics, partly on a running instance."""
 
 import re
 from pathlib import Path
@@ -12,16 +12,16 @@
 
 
 class TestMetrics:
-    """Test what operators read."""
+    """Test the metrics that operators read."""
 
-    def test_answers_and_refusals_have_their_latency(self):
-        """Each class has its histograms, by outcome."""
+    def test_latencies_are_recorded_by_outcome(self):
+        """Answers and refusals appear in the histograms of their class."""
 
         async def scenario(fleet):
             await fleet.ask('/stream/x')
             await fleet.ask('/once/x')
             await fleet.ask('/once/x', key='other')
-            told = (await fleet.get('/metrics', 4)).body.decode()
+            text = (await fleet.get('/metrics', 4)).body.decode()
             for line in (
                 'request_seconds_count{node="/stream/",outcome="answered"} 1',
                 'request_seconds_count{node="",outcome="unknown_key"} 1',
@@ -29,18 +29,18 @@
                 'longest_pause_seconds_count{node="/stream/"} 1',
                 'queue_wait_seconds_count{node="/once/"} 1',
             ):
-                assert f'siskinpass_{line}' in told
+                assert f'siskinpass_{line}' in text
 
         run_scenario(scenario)
 
-    def test_counts_fall_into_buckets(self):
-        """A wait counts in all buckets above it."""
+    def test_observation_counts_in_all_buckets_above(self):
+        """A wait is counted in every bucket whose bound is not below it."""
         metrics = Metrics()
         metrics.waited('n', 0.25)
-        told = metrics.render().decode()
+        text = metrics.render().decode()
         counts = dict(
             re.findall(
-                r'wait_seconds_bucket\{le="(.*?)",node="n"\} (\d)', told
+                r'wait_seconds_bucket\{le="(.*?)",node="n"\} (\d)', text
             ),
         )
         assert (counts['0.2'], counts['0.3'], counts['+Inf']) == ('0', '1', '1')
@@ -52,5 +52,5 @@
         ),
     )
     def test_every_metric_is_documented(self, name):
-        """The table of the docs names each metric."""
+        """The operations manual names each metric."""
         assert f'`{name}`' in OPERATIONS.read_text()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Test TLS towards callers and operators and between instances."""
+"""Test TLS with callers, with operators and between instances."""
 
 import datetime
 import ipaddress
@@ -17,7 +17,7 @@
 
 
 def make_certificate(folder):
-    """Write a certificate for the loopback address, its own authority."""
+    """Write a self-signed certificate for the loopback address and its key."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, 'test')])
     now = datetime.datetime.now(datetime.UTC)
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def peers_with_tls(tmp_path):
-    """Run three entries that speak mutual TLS among each other."""
+    """Run three entries that use mutual TLS among each other."""
     cert, key = make_certificate(tmp_path)
     flags = (
         '--peer-certificate',
@@ -65,10 +65,10 @@
 
 
 class TestTls:
-    """Test encrypted connections of each kind."""
+    """Test each kind of encrypted connection."""
 
     def test_between_instances(self, peers_with_tls):
-        """Tickets cross between instances over mutual TLS."""
+        """Entries reach a single broker over mutual TLS."""
         jobs = [counter(at_s=number / 20) for number in range(12)]
         answers = ask(jobs, target(peers_with_tls))
         assert all(answer.whole for answer in answers)
@@ -80,7 +80,7 @@
         assert len(brokers) == 1
 
     def test_towards_callers_and_operators(self, tmp_path):
-        """With a certificate both sides speak TLS, and only that."""
+        """With a certificate, callers and operators can only use TLS."""
         cert, key = make_certificate(tmp_path)
         plan = deployment('fieltro-lanera', 1)
         with running(plan) as plain:
@@ -97,12 +97,12 @@
                 lambda: _status(http, f'https://{entry.callers}/readyz') == 200,
                 'the instance to be ready',
             )
-            told = http.request(
+            tree_answer = http.request(
                 'GET',
                 f'https://{entry.operators}/tree',
                 headers={'X-Siskinpass-Operator-Key': OPERATOR_KEY},
             )
-            assert told.json()['version'] == 1
+            assert tree_answer.json()['version'] == 1
             answer = http.request(
                 'POST',
                 f'https://{entry.callers}/v1/completions',
