--- a/src/siskinpass/process/attempt.py
+++ b/src/siskinpass/process/attempt.py
@@ -92,13 +92,13 @@
             return
         now_s = self._loop.time()
         try:
-            whole = self.parser.feed(piece, now_s)
+            events = self.parser.feed(piece, now_s)
         except BackendError as error:
             self.abort(error)
             return
-        if whole:
+        if events:
             self.first_token_s = self.first_token_s or now_s
-            self._forward(whole)
+            self._forward(events)
 
     def take_end(self) -> None:
         """End the attempt, as failed if a stream lacks its end marker."""
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -60,7 +60,7 @@
 from siskinpass.version.tree_version import TreeVersion
 
 RECHECK_INTERVAL_S = 0.5
-LEAVE_DELAY_S = 1.0
+LEAVE_NOTICE_S = 1.0
 NS_PER_MS = 1_000_000
 
 
@@ -262,14 +262,14 @@
 
     def metrics(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
-        book = self.process_metrics
-        book.set_state('open_requests', self.relay.open_requests)
-        book.set_state('open_streams', self.stream_monitor.open_streams)
-        book.set_state('live_instances', len(self.gossip.membership.live))
-        book.set_state('tree_version', self.tree_watch.book.number)
-        book.set_state('peer_bytes_sent', self.gossip.bytes_sent)
-        book.set_state('peer_packets_sent', self.gossip.packets_sent)
-        return book.render()
+        metrics = self.process_metrics
+        metrics.set_state('open_requests', self.relay.open_requests)
+        metrics.set_state('open_streams', self.stream_monitor.open_streams)
+        metrics.set_state('live_instances', len(self.gossip.membership.live))
+        metrics.set_state('tree_version', self.tree_watch.book.number)
+        metrics.set_state('peer_bytes_sent', self.gossip.bytes_sent)
+        metrics.set_state('peer_packets_sent', self.gossip.packets_sent)
+        return metrics.render()
 
     async def propose(self, proposal: Proposal) -> int:
         """Store an edit as a new version and put it in force here at once.
@@ -358,10 +358,10 @@
         self._store.close()
 
     async def _finish_drain(self) -> None:
-        await asyncio.sleep(LEAVE_DELAY_S)
+        await asyncio.sleep(LEAVE_NOTICE_S)
         self.relay.leaving = True
         await self.relay.drain()
-        await asyncio.sleep(LEAVE_DELAY_S)
+        await asyncio.sleep(LEAVE_NOTICE_S)
         await self.relay.drain()
         self._log.note('The process ends.')
         self.stopped.set()
@@ -397,8 +397,8 @@
         self.tree_watch.take_members(tuple(live))
         names = {member.name for member in membership.serving}
         alive = {member.name for member in live}
-        for gone in self.dispatcher.instances - alive:
-            self.host.lose_entry(gone)
+        for dead in self.dispatcher.instances - alive:
+            self.host.lose_entry(dead)
         self.dispatcher.take_instances(names)
 
     def _on_version(self, version: TreeVersion) -> None:
--- a/src/siskinpass/process/pages.py
+++ b/src/siskinpass/process/pages.py
@@ -174,12 +174,12 @@
 
         Without a version number in the path, the version in force is returned.
         """
-        return self._with_key(lambda: self._tree(path))
+        return self._answer_if_authorized(lambda: self._tree(path))
 
     @cherrypy.expose
     def history(self) -> bytes:
         """Return the latest accepted edits of the tree."""
-        return self._with_key(
+        return self._answer_if_authorized(
             lambda: [
                 asdict(edit) for edit in self._run_on_loop(self._node.history())
             ],
@@ -188,19 +188,19 @@
     @cherrypy.expose
     def diff(self, old: str = '0', new: str = '0') -> bytes:
         """Return the changes from one version to another, by number."""
-        return self._with_key(
+        return self._answer_if_authorized(
             lambda: self._diff(_parse_version(old), _parse_version(new))
         )
 
     @cherrypy.expose
     def status(self) -> bytes:
         """Return the status document."""
-        return self._with_key(self._node.status)
+        return self._answer_if_authorized(self._node.status)
 
     @cherrypy.expose
     def drain(self) -> bytes:
         """Begin to leave, as on SIGTERM."""
-        return self._with_key(self._drain)
+        return self._answer_if_authorized(self._drain)
 
     @cherrypy.expose
     def metrics(self) -> bytes:
@@ -213,7 +213,7 @@
         """Answer any other path with an error."""
         return _error(SiskinpassError(Code.unknown_path))
 
-    def _with_key(self, answer: Callable[[], Any]) -> bytes:
+    def _answer_if_authorized(self, answer: Callable[[], Any]) -> bytes:
         given_key = cherrypy.request.headers.get(OPERATOR_HEADER, '')
         if not hmac.compare_digest(given_key.encode(), self._key.encode()):
             return _error(SiskinpassError(Code.operator_key_wrong))
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -105,7 +105,7 @@
 
 
 class RequestRun:
-    """One request, from its validation until it has ended.
+    """One parsed request, from its first attempt until it has ended.
 
     :ivar stream_started: whether the head of a stream was sent to the caller.
     :ivar ran: whether a backend server ran the request, as far as is known.
@@ -337,14 +337,14 @@
             self._start_stream()
             self._caller.write(CHUNKS_END)
             return
-        kept = b''.join(self._events)
+        joined = b''.join(self._events)
         if self._is_service:
-            self.outcome.body = kept
+            self.outcome.body = joined
             self.outcome.first_ms = self._since_arrival_ms()
         else:
             chat = self._call.path == CHAT_PATH
             self.outcome.status = 200
-            self.outcome.body = assemble(kept, chat=chat)
+            self.outcome.body = assemble(joined, chat=chat)
         headers = {
             'X-Request-Id': self.outcome.request_id,
             'X-Siskinpass-Ran': Ran.was_run.value,
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -130,8 +130,8 @@
         where.seed = 11
         where_again = target(healed, second)
         where_again.seed = 11
-        one = ask([order()], where)[0]
-        assert one.whole
+        first_answer = ask([order()], where)[0]
+        assert first_answer.whole
         wait_until(
             lambda: ask([order()], where_again)[0].status == 200,
             'the stored answer',
@@ -303,7 +303,7 @@
         """One-way packet loss between two instances fails no request."""
         ask([counter()], target(healed))
         broker = broker_entry(healed)
-        other = next(one for one in healed.entries if one is not broker)
+        other = next(entry for entry in healed.entries if entry is not broker)
         source = other.peers.rsplit(':', 1)[0]
         healed.fault(
             name=broker.name,
