--- a/src/siskinpass/process/frontend.py
+++ b/src/siskinpass/process/frontend.py
@@ -63,7 +63,8 @@
     async def listening(self) -> AsyncGenerator[None, None]:
         """Listen on both addresses while the context is entered.
 
-        On exit the listeners, all open connections and the threads are closed.
+        On exit the listeners and all open connections are closed and the
+        threads are stopped.
         """
         self._callers.start_threads()
         self._operators.start_threads()
--- a/src/siskinpass/process/overview.py
+++ b/src/siskinpass/process/overview.py
@@ -16,8 +16,8 @@
 ) -> dict[str, Any]:
     """Return which version of the tree is in force at which instance.
 
-    :param number: version in force at this instance; live members with a lower
-        one are listed under ``behind``.
+    :param number: version in force at this instance; members with a lower one
+        are listed under ``behind`` unless they are dead.
     """
     known_members = tuple(members)
     behind = [
--- a/src/siskinpass/process/request_timeline.py
+++ b/src/siskinpass/process/request_timeline.py
@@ -74,8 +74,8 @@
 def read_log(lines: Iterable[bytes]) -> Iterator[LogLine]:
     """Parse log lines, and skip lines that are not in the log's format.
 
-    :param lines: lines as written; text before the JSON object, such as a time
-        stamp of the log collector, is ignored.
+    :param lines: lines as written; text before the JSON object, such as a
+        prefix that another program added, is ignored.
     """
     for line in lines:
         start = line.find(b'{')
--- a/src/siskinpass/process/settings.py
+++ b/src/siskinpass/process/settings.py
@@ -116,7 +116,8 @@
 
     With a certificate, connections use mutual TLS.
 
-    :raises SettingsError: if a certificate or key cannot be loaded.
+    :raises SettingsError: if a certificate or key cannot be loaded, or if the
+        authority is missing.
     """
     if settings.peer_certificate is None:
         return PeerSecurity(settings.peer_key)
