--- a/src/siskinpass/process/addresses.py
+++ b/src/siskinpass/process/addresses.py
@@ -1,4 +1,4 @@
-"""Choose the instances that a caller is told to use."""
+"""Choose the instances whose addresses are returned to a caller."""
 
 import random
 from collections.abc import Iterable
@@ -6,14 +6,19 @@
 
 from siskinpass.process.membership import Member
 
-ADDRESSES_TOLD = 3
-NEAR_LEAST = 2
-NEAR_MOST = 64  # callers read no more of an answer
+MAX_ADDRESSES = 3
+MIN_NEAR = 2
+MAX_NEAR = 64  # callers ignore any further addresses of an answer
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Name an instance that a caller may use."""
+    """An instance that a caller may use.
+
+    :param name: name of the instance.
+    :param address: its address for callers, ``ip:port``.
+    :param zone: its availability zone.
+    """
 
     name: str
     address: str
@@ -21,46 +26,49 @@
 
 
 def choose_addresses(serving: Iterable[Member], zone: str) -> list[Address]:
-    """Return instances: the caller's zone first, then one of each other.
+    """Return up to ``MAX_ADDRESSES`` instances, best first.
+
+    An instance in the caller's zone comes first, then one of each other zone.
+    Instances of one zone are in random order, which spreads callers over them.
 
     :param serving: members that are neither dead nor leaving.
     :param zone: availability zone of the caller, empty where unknown.
     """
-    found = [
+    candidates = [
         Address(member.name, member.caller_address, member.zone)
         for member in serving
         if member.caller_address
     ]
-    random.shuffle(found)
-    found.sort(key=lambda address: address.zone != zone)
-    return _spread(found)[:ADDRESSES_TOLD]
+    random.shuffle(candidates)
+    candidates.sort(key=lambda address: address.zone != zone)
+    return _spread_over_zones(candidates)[:MAX_ADDRESSES]
 
 
-def first_address(found: Iterable[Address]) -> str:
+def first_address(candidates: Iterable[Address]) -> str:
     """Return the best address, empty where there is none."""
-    return next((address.address for address in found), '')
+    return next((address.address for address in candidates), '')
 
 
-def _spread(found: list[Address]) -> list[Address]:
-    """Put one instance of each zone before a second of any."""
+def _spread_over_zones(candidates: list[Address]) -> list[Address]:
+    """Reorder so that each zone's first instance precedes any second one."""
     seen: dict[str, int] = {}
     ranks = []
-    for address in found:
+    for address in candidates:
         seen[address.zone] = seen.get(address.zone, 0) + 1
         ranks.append(seen[address.zone])
-    order = sorted(range(len(found)), key=ranks.__getitem__)
-    return [found[index] for index in order]
+    order = sorted(range(len(candidates)), key=ranks.__getitem__)
+    return [candidates[index] for index in order]
 
 
 def addresses_near(serving: Iterable[Member], zone: str) -> list[str]:
-    """Return the instances of a zone, or all where it has fewer than two.
+    """Return the addresses of a zone, or of all zones if it has fewer than two.
 
-    One alone would leave a caller without a second address to turn to.
+    With a single address, a caller would have no alternative if it fails.
 
     :param serving: members that are neither dead nor leaving.
     :param zone: availability zone of the caller.
     """
-    found = [member for member in serving if member.caller_address]
-    near = [member for member in found if member.zone == zone]
-    used = near if len(near) >= NEAR_LEAST else found
-    return [member.caller_address for member in used[:NEAR_MOST]]
+    candidates = [member for member in serving if member.caller_address]
+    near = [member for member in candidates if member.zone == zone]
+    chosen = near if len(near) >= MIN_NEAR else candidates
+    return [member.caller_address for member in chosen[:MAX_NEAR]]
--- a/src/siskinpass/process/discovery.py
+++ b/src/siskinpass/process/discovery.py
@@ -13,7 +13,7 @@
 
 from siskinpass.codes import Code
 from siskinpass.exceptions import StoreError
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.request.ticket import ServerView
 
 ENTRY = 'entry'
@@ -82,7 +82,7 @@
     :param on_listing: called with each successful reading.
     """
     http = urllib3.PoolManager(maxsize=1)
-    log = PartLog('list')
+    log = ComponentLog('list')
     while True:
         try:
             listing = await asyncio.to_thread(
--- a/src/siskinpass/process/dispatcher.py
+++ b/src/siskinpass/process/dispatcher.py
@@ -13,7 +13,7 @@
     TicketListener,
 )
 from siskinpass.process.hosting import FALLBACK_PREFIX, BrokerHost
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.rendezvous import holder
 from siskinpass.request.ticket import Command, Event, Ticket, TokensObserved
 
@@ -88,7 +88,7 @@
         self._clients: dict[str, BrokerClient] = {}
         self._instances: frozenset[str] = frozenset((own,))
         self._unreachable: dict[str, float] = {}
-        self._log = PartLog('dispatch')
+        self._log = ComponentLog('dispatch')
         self.decides_locally = False
 
     @property
--- a/src/siskinpass/process/engines.py
+++ b/src/siskinpass/process/engines.py
@@ -1,6 +1,6 @@
-"""Read the engines' reports and give them orders, under a lease.
+"""Reconcile the engines' loaded models with the tree, while a lease is held.
 
-The only module that knows the dialect of reports and orders.
+The only module that knows the format of reports and orders.
 """
 
 import asyncio
@@ -10,62 +10,65 @@
 import urllib3
 from urllib3.exceptions import HTTPError
 
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.orders import EngineReport, Order, OrderPlan
 from siskinpass.process.store_lease import StoreLease
 from siskinpass.request.ticket import ServerView
 from siskinpass.version.tree_version import CurrentVersion
 
-EVERY_S = 2.0
-TIMEOUT_S = 1.0
+INTERVAL_S = 2.0
+REPORT_TIMEOUT_S = 1.0
 ORDER_TIMEOUT_S = 30.0
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 ENGINE = 'engine'
 
 
-class EngineKeeper:
-    """Bring the engines to hold what the tree says, while the lease holds."""
+class EngineReconciler:
+    """Orders engines to load the models that the tree assigns to their pool.
+
+    Orders are only sent while the lease is held.
+    """
 
     def __init__(
         self,
         lease: StoreLease,
-        book: CurrentVersion,
+        current_version: CurrentVersion,
         servers: Callable[[], Iterable[ServerView]],
     ) -> None:
-        """Start without open orders.
+        """Create a reconciler; requires a running event loop.
 
-        :param servers: gives the listed backend servers.
+        :param servers: returns the listed backend servers.
         """
         self._lease = lease
-        self._book = book
+        self._current_version = current_version
         self._servers = servers
         self._plans: dict[str, OrderPlan] = {}
         self._http = urllib3.PoolManager(maxsize=4, retries=False)
         self._loop = asyncio.get_running_loop()
-        self._log = PartLog('engine')
-        self._open: set[asyncio.Task[None]] = set()
+        self._log = ComponentLog('engine')
+        self._sending: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Compare and order for ever."""
+        """Read the reports and send orders periodically until cancelled."""
         while True:
-            await asyncio.sleep(EVERY_S)
-            version = self._book.current
+            await asyncio.sleep(INTERVAL_S)
+            version = self._current_version.current
             if self._lease.fence is None or version is None:
                 self._plans.clear()
                 continue
             for name, pool in version.tree.root.pools.items():
                 if pool.kind == ENGINE:
-                    await self._keep_pool(name, frozenset(pool.models))
+                    await self._reconcile_pool(name, frozenset(pool.models))
 
-    async def _keep_pool(self, pool: str, wanted: frozenset[str]) -> None:
+    async def _reconcile_pool(self, pool: str, wanted: frozenset[str]) -> None:
         servers = {
             server.name: server.address
             for server in self._servers()
             if server.pool == pool and not server.leaving
         }
-        reports = await self._read_all(servers)
-        # The reports took a while; the lease may be gone by now.
+        reports = await self._read_reports(servers)
+        # The lease may have expired while the reports were read.
         fence = self._lease.fence
         if fence is None:
             return
@@ -74,20 +77,22 @@
         for order in orders:
             sending = self._send(order, servers[order.engine])
             task = self._loop.create_task(sending)
-            self._open.add(task)
-            task.add_done_callback(self._open.discard)
+            self._sending.add(task)
+            task.add_done_callback(self._sending.discard)
 
-    async def _read_all(self, servers: dict[str, str]) -> list[EngineReport]:
-        reading = [
-            asyncio.to_thread(self._read, name, address)
+    async def _read_reports(
+        self, servers: dict[str, str]
+    ) -> list[EngineReport]:
+        requests = [
+            asyncio.to_thread(self._read_report, name, address)
             for name, address in servers.items()
         ]
-        return await asyncio.gather(*reading)
+        return await asyncio.gather(*requests)
 
     async def _send(self, order: Order, address: str) -> None:
-        status = await asyncio.to_thread(self._post, order, address)
+        status = await asyncio.to_thread(self._post_order, order, address)
         self._log.note(
-            'Gave an order.',
+            'Sent an order to an engine.',
             engine=order.engine,
             models=list(order.models),
             fence=order.fence,
@@ -95,21 +100,21 @@
             fenced_off=status == STATUS_CONFLICT,
         )
 
-    def _read(self, name: str, address: str) -> EngineReport:
+    def _read_report(self, name: str, address: str) -> EngineReport:
         try:
             answer = self._http.request(
                 'GET',
                 f'http://{address}/load',
-                timeout=TIMEOUT_S,
+                timeout=REPORT_TIMEOUT_S,
             )
         except HTTPError:
             return EngineReport(name, None)
         if answer.status != STATUS_OK:
             return EngineReport(name, None)
-        told = orjson.loads(answer.data)
-        return EngineReport(name, frozenset(told.get('models', ())))
+        report = orjson.loads(answer.data)
+        return EngineReport(name, frozenset(report.get('models', ())))
 
-    def _post(self, order: Order, address: str) -> int:
+    def _post_order(self, order: Order, address: str) -> int:
         body = orjson.dumps({
             'models': list(order.models),
             'fence': order.fence,
--- a/src/siskinpass/process/front.py
+++ b/src/siskinpass/process/frontend.py
@@ -1,4 +1,4 @@
-"""Listen for callers and operators."""
+"""Listeners for callers and operators."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -20,22 +20,22 @@
 from siskinpass.request.call import CHAT_PATH, SERVICE_PREFIX, TEXT_PATH
 from siskinpass.request.head import RequestHead
 
-ADDRESS_KEEP_S = 15
+ADDRESS_TTL_S = 15
 OPERATOR_THREADS = 2
-CONNECTIONS_MOST = 12_000
+MAX_CONNECTIONS = 12_000
 BACKLOG = 4096
-RELAYED = (CHAT_PATH, TEXT_PATH, SERVICE_PREFIX)
+RELAYED_PATHS = (CHAT_PATH, TEXT_PATH, SERVICE_PREFIX)
 
 
 class RequestServer(Protocol):
-    """Answer parsed requests."""
+    """Handler of the requests on the relayed paths."""
 
     def serve(self, caller: CallerConnection, head: RequestHead) -> None:
-        """Start to answer a request."""
+        """Start to answer a parsed request."""
 
 
-class Front:
-    """Own the listening sockets and the request threads."""
+class Frontend:
+    """Owner of the listening sockets and of CherryPy's request threads."""
 
     def __init__(
         self,
@@ -43,22 +43,29 @@
         node: Node,
         relay: RequestServer,
     ) -> None:
-        """Make the page handlers; nothing listens yet."""
+        """Create the page handlers without opening sockets.
+
+        Must be called on the event loop.
+        """
         loop = asyncio.get_running_loop()
         self._settings = settings
         self._loop = loop
         self._relay = relay
         self._connections: set[CallerConnection] = set()
-        callers = make_application(CallerPages(node, loop, ADDRESS_KEEP_S))
+        callers = make_application(CallerPages(node, loop, ADDRESS_TTL_S))
         operators = make_application(
             OperatorPages(node, loop, settings.operator_key),
         )
-        self._callers = ParsingServer(callers, settings.threads, RELAYED)
+        self._callers = ParsingServer(callers, settings.threads, RELAYED_PATHS)
         self._operators = ParsingServer(operators, OPERATOR_THREADS)
 
     @asynccontextmanager
     async def listening(self) -> AsyncGenerator[None, None]:
-        """Listen on both addresses."""
+        """Listen on both addresses while the context is entered.
+
+        On exit the listeners and all open connections are closed and the
+        threads are stopped.
+        """
         self._callers.start_threads()
         self._operators.start_threads()
         callers = await self._listen(self._settings.callers, self._callers)
@@ -94,9 +101,9 @@
         )
 
     def _accept(self, parser: ParsingServer) -> asyncio.Protocol:
-        if len(self._connections) >= CONNECTIONS_MOST:
-            return _Refuser()
-        return _CountedConnection(
+        if len(self._connections) >= MAX_CONNECTIONS:
+            return _RefusingProtocol()
+        return _TrackedConnection(
             self._connections,
             self._loop,
             parser.parse,
@@ -104,8 +111,8 @@
         )
 
 
-class _CountedConnection(CallerConnection):
-    """Stand in the set of open connections while open."""
+class _TrackedConnection(CallerConnection):
+    """Connection that is in the set of open connections while it is open."""
 
     def __init__(
         self,
@@ -117,21 +124,22 @@
         self._connections = connections
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the set."""
+        """Add the connection to the set."""
         self._connections.add(self)
         super().connection_made(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the set."""
+        """Remove the connection from the set."""
         self._connections.discard(self)
         super().connection_lost(exc)
 
 
-class _Refuser(asyncio.Protocol):
-    """Refuse a connection beyond the bound."""
+class _RefusingProtocol(asyncio.Protocol):
+    """Protocol for connections beyond ``MAX_CONNECTIONS``."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Answer and close."""
+        """Answer with an error and close the connection."""
+
         transport.write(
             error_answer(Code.too_many_connections, retry_after_ms=1000),
         )
--- a/src/siskinpass/process/logs.py
+++ b/src/siskinpass/process/logs.py
@@ -1,4 +1,4 @@
-"""Write structured logs, each with the fixed prefix of its part."""
+"""Structured logs, whose message types start with the component's name."""
 
 import os
 import sys
@@ -8,48 +8,54 @@
 
 import eliot
 
-# Lines of one part a second that tell of ordinary work; failures always count
-# as out of the ordinary. Three times the heaviest minute of the users' days.
-OFTEN_MOST = 100
-PERIOD_S = 1.0
-# A reader that stalls costs lines, not memory: about a second of them.
-HELD_BYTES_MOST = 262_144
+# Limit of routine lines in each period for one component; failures are not
+# routine and not limited. Three times the rate in the users' busiest minute.
+MAX_ROUTINE_LINES = 100
+RATE_PERIOD_S = 1.0
+# While the pipe's reader stalls, about one second of lines is buffered. Further
+# lines are dropped, so that memory stays bounded.
+MAX_BUFFERED_BYTES = 262_144
 
 
 class LineWriter:
-    """Write lines to a pipe without ever waiting for its reader.
+    """Writer of lines to a pipe that never waits for the pipe's reader.
 
-    Lines that do not fit are dropped and counted; the count is written once
-    there is room again.
+    Lines that do not fit into the buffer are dropped and counted. The count is
+    written as a line of its own once the buffer is empty again.
+
+    :ivar dropped: lines dropped since the count was last written.
     """
 
     def __init__(self, pipe: BinaryIO) -> None:
-        """Take a pipe over; it is set to never block."""
+        """Set the pipe to non-blocking mode.
+
+        :param pipe: pipe that nothing else writes to.
+        """
         self._descriptor = pipe.fileno()
         os.set_blocking(self._descriptor, False)  # noqa: FBT003
-        self._held: deque[bytes] = deque()
-        self._held_bytes = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self.dropped = 0
 
     def write(self, text: str | bytes) -> None:
-        """Take in one line."""
+        """Append one line to the buffer, or drop it if the buffer is full."""
         line = text.encode() if isinstance(text, str) else text
-        if self._held_bytes + len(line) > HELD_BYTES_MOST:
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._held.append(line)
-        self._held_bytes += len(line)
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
 
     def flush(self) -> None:
-        """Write what the pipe takes now."""
-        while self._held:
-            line = self._held.popleft()
+        """Write as much of the buffer as the pipe accepts without blocking."""
+        while self._buffer:
+            line = self._buffer.popleft()
             written = self._write(line)
-            self._held_bytes -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._held.appendleft(line[written:])
+                self._buffer.appendleft(line[written:])
                 return
-        self._tell_dropped()
+        self._report_dropped()
 
     def _write(self, line: bytes) -> int:
         try:
@@ -57,7 +63,7 @@
         except BlockingIOError:
             return 0
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         dropped, self.dropped = self.dropped, 0
         if dropped:
             self._write(
@@ -65,58 +71,63 @@
             )
 
 
-class PartLog:
-    """Log for one part of the process.
+class ComponentLog:
+    """Log of one component of the process.
 
-    :param part: fixed prefix, as ``relay`` or ``tree``.
+    :param component: prefix of its message types, such as ``relay``.
     """
 
-    def __init__(self, part: str) -> None:
-        """Keep the prefix."""
-        self._part = part
+    def __init__(self, component: str) -> None:
+        self._component = component
         self._period = 0
         self._lines = 0
-        self._left_out: Counter[str] = Counter()
+        self._suppressed: Counter[str] = Counter()
 
     def often(self, sentence: str, **fields: Any) -> None:
-        """Log ordinary work, of which some is left out under load."""
-        period = int(time.monotonic() / PERIOD_S)
+        """Log a routine event; lines above the rate limit are suppressed.
+
+        The number of suppressed lines is logged in a later period.
+        """
+        period = int(time.monotonic() / RATE_PERIOD_S)
         if period != self._period:
             self._start_period(period)
         self._lines += 1
-        if self._lines > OFTEN_MOST:
-            self._left_out[sentence] += 1
+        if self._lines > MAX_ROUTINE_LINES:
+            self._suppressed[sentence] += 1
         else:
             self.note(sentence, **fields)
 
     def note(self, sentence: str, **fields: Any) -> None:
-        """Log one short sentence."""
+        """Log an event, described by one short fixed sentence."""
         eliot.log_message(
-            message_type=f'{self._part}:note',
+            message_type=f'{self._component}:note',
             text=sentence,
             **fields,
         )
 
     def warn(self, sentence: str, **fields: Any) -> None:
-        """Log one short sentence that an operator should see."""
+        """Log a warning, which an operator should see."""
         eliot.log_message(
-            message_type=f'{self._part}:warning',
+            message_type=f'{self._component}:warning',
             text=sentence,
             **fields,
         )
 
     def _start_period(self, period: int) -> None:
-        left_out, self._left_out = self._left_out, Counter()
+        suppressed, self._suppressed = self._suppressed, Counter()
         self._period = period
         self._lines = 0
-        for sentence, lines in left_out.items():
-            self.note('Lines were left out.', kind=sentence, lines=lines)
+        for sentence, lines in suppressed.items():
+            self.note(
+                'Routine lines were suppressed.', kind=sentence, lines=lines
+            )
 
 
 def start_pipe_logs(pipe: BinaryIO, instance: str) -> None:
     """Send the logs to a pipe as JSON lines, without waiting for its reader.
 
-    :param instance: stands in each line, as logs of many are read together.
+    :param instance: name of this instance, added to each line because the logs
+        of all instances are read together.
     """
     eliot.add_global_fields(instance=instance)
     eliot.to_file(LineWriter(pipe))
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -1,4 +1,4 @@
-"""Put the parts of one entry instance together and run them."""
+"""Entry instance: creates its parts, connects, starts and stops them."""
 
 import asyncio
 import random
@@ -23,11 +23,11 @@
 from siskinpass.process.counts import TallyHistory
 from siskinpass.process.discovery import Listing, poll_listing
 from siskinpass.process.dispatcher import Dispatcher
-from siskinpass.process.engines import EngineKeeper
-from siskinpass.process.front import Front
+from siskinpass.process.engines import EngineReconciler
+from siskinpass.process.frontend import Frontend
 from siskinpass.process.gossip import Gossip
 from siskinpass.process.hosting import FALLBACK_PREFIX, BrokerHost
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.membership import Member, Membership, MembershipPolicy
 from siskinpass.process.metrics import Metrics
 from siskinpass.process.overview import describe_brokers, describe_versions
@@ -36,7 +36,7 @@
     PeerLinks,
 )
 from siskinpass.process.policies import broker_policy
-from siskinpass.process.relay import Relay, RelayParts
+from siskinpass.process.relay import Relay, RelayContext
 from siskinpass.process.settings import (
     FIFO_RANDOM,
     LEAST_OUTSTANDING,
@@ -45,9 +45,9 @@
     load_peer_security,
 )
 from siskinpass.process.status import (
-    StatusKeeper,
-    StatusParts,
-    encode_after,
+    StatusAggregator,
+    StatusContext,
+    encode_counts_after,
 )
 from siskinpass.process.store import Store
 from siskinpass.process.store_lease import STATUS_LEASE_KEY, StoreLease
@@ -59,38 +59,41 @@
 from siskinpass.version.schema import Pool
 from siskinpass.version.tree_version import TreeVersion
 
-RECHECK_EVERY_S = 0.5
-LEAVING_NOTICE_S = 1.0
+RECHECK_INTERVAL_S = 0.5
+LEAVE_NOTICE_S = 1.0
 NS_PER_MS = 1_000_000
 
 
 class EntryNode:
-    """Own every part of one entry instance."""
+    """Owner of all parts of one process."""
 
     def __init__(self, settings: Settings) -> None:
-        """Make the parts; must be called on the event loop."""
+        """Create the parts without opening sockets or starting tasks.
+
+        Must be called on the event loop.
+        """
         self._settings = settings
         self._loop = asyncio.get_running_loop()
-        self._log = PartLog('node')
+        self._log = ComponentLog('node')
         self._incarnation = time.time_ns() // NS_PER_MS
         self._security = load_peer_security(settings)
         self._listing = Listing((), ())
         self._addresses: dict[str, str] = {}
         self._leaving = False
         self.stopped = asyncio.Event()
-        self.metrics_book = Metrics()
+        self.process_metrics = Metrics()
         self._store = Store(
             f'http://{settings.platform}',
             lambda kind: self._loop.call_soon_threadsafe(
-                self.metrics_book.store_called,
+                self.process_metrics.store_called,
                 kind,
             ),
         )
-        self._make_agreement()
-        self._make_relay()
+        self._create_cluster_parts()
+        self._create_relay_parts()
 
-    def _make_agreement(self) -> None:
-        """Make the parts that act together with other instances."""
+    def _create_cluster_parts(self) -> None:
+        """Create the parts that communicate with other instances."""
         settings = self._settings
         peers_host = settings.peers.rsplit(':', 1)[0]
         self._links = PeerLinks(settings.name, peers_host, self._security)
@@ -109,42 +112,42 @@
         self.gossip = Gossip(
             membership,
             settings.peer_key,
-            self._take_members,
+            self._on_members,
         )
-        self._repository = TreeRepository(self._store, _stamp)
+        self._repository = TreeRepository(self._store, _timestamp)
         self.tree_watch = TreeWatch(
             settings.name,
             self._repository,
             self._links,
-            self._take_version,
+            self._on_version,
         )
-        self.host = BrokerHost(self._loop, self._policy_of)
+        self.host = BrokerHost(self._loop, self._policy_for)
         self.dispatcher = Dispatcher(
             settings.name,
             self.host,
             self._links.open_session,
-            self.metrics_book.retried,
+            self.process_metrics.retried,
         )
         self.dispatcher.decides_locally = settings.decisions != SHARED
 
-    def _make_relay(self) -> None:
-        """Make the parts that answer callers."""
+    def _create_relay_parts(self) -> None:
+        """Create the parts that answer callers and manage the engines."""
         settings = self._settings
         self._counts = TallyHistory()
         self._claims = Claims(self._store)
         self._backends = BackendPool(self._loop)
-        self.watch = StreamMonitor(self.dispatcher)
+        self.stream_monitor = StreamMonitor(self.dispatcher)
         self.relay = Relay(
-            RelayParts(
+            RelayContext(
                 settings.name,
                 self._incarnation,
                 self.tree_watch.book,
                 self.dispatcher,
                 self._backends,
-                self.watch,
+                self.stream_monitor,
                 self._claims,
                 self._counts,
-                self.metrics_book,
+                self.process_metrics,
                 self._address_of,
                 settings.decisions not in {LEAST_OUTSTANDING, FIFO_RANDOM},
                 lambda: first_address(self.addresses(settings.zone)),
@@ -155,8 +158,8 @@
             STATUS_LEASE_KEY,
             f'{settings.name}-{self._incarnation}',
         )
-        self._status = StatusKeeper(
-            StatusParts(
+        self._status = StatusAggregator(
+            StatusContext(
                 settings.name,
                 self._store,
                 self._links,
@@ -166,15 +169,18 @@
             ),
             self._lease,
         )
-        self._engines = EngineKeeper(
+        self._engines = EngineReconciler(
             self._lease,
             self.tree_watch.book,
             lambda: self._listing.servers,
         )
-        self._front = Front(settings, self, self.relay)
+        self._frontend = Frontend(settings, self, self.relay)
 
     async def run(self) -> None:
-        """Serve until told to leave and the last request is answered."""
+        """Serve until the instance has been drained.
+
+        An exception of any background task ends it and is raised.
+        """
         async with self._started() as tasks:
             stopping = asyncio.ensure_future(self.stopped.wait())
             done, _ = await asyncio.wait(
@@ -182,24 +188,30 @@
                 return_when=asyncio.FIRST_COMPLETED,
             )
             for task in done - {stopping}:
-                # A part never ends by itself: what ended it is shown.
+                # These tasks only end by an exception, which this raises.
                 task.result()
 
     async def drain(self) -> None:
-        """Leave: take nothing new, finish what is open, then stop."""
+        """Begin to leave; return before the open requests are answered."""
         self.start_drain()
 
     def start_drain(self) -> None:
-        """Begin to leave."""
+        """Begin to leave: refuse new requests, finish the open ones, then stop.
+
+        Does nothing if the instance is already leaving.
+        """
         if self._leaving:
             return
         self._leaving = True
-        self._log.note('Leaving.')
-        self._tell_self()
-        self._leave_task = self._loop.create_task(self._finish())
+        self._log.note('The instance is leaving.')
+        self._announce_self()
+        self._leave_task = self._loop.create_task(self._finish_drain())
 
     def addresses(self, zone: str) -> list[Address]:
-        """Return instances to use, the best first."""
+        """Return the instances that a caller should use, best first.
+
+        :param zone: availability zone of the caller, empty where unknown.
+        """
         serving = [
             member
             for member in self.gossip.membership.serving
@@ -208,7 +220,7 @@
         return choose_addresses(serving, zone)
 
     def unready_reason(self) -> Code | None:
-        """Return why this instance is not ready, or none."""
+        """Return why this instance is not ready, ``None`` if it is ready."""
         if self._leaving:
             return Code.instance_leaving
         if self.tree_watch.book.current is None:
@@ -216,7 +228,7 @@
         return None
 
     def models(self) -> list[str]:
-        """Return the models of the version in force."""
+        """Return the names of the models of all pools, sorted."""
         version = self.tree_watch.book.current
         if version is None:
             return []
@@ -224,14 +236,17 @@
         return sorted({model for pool in pools for model in pool.models})
 
     def tree(self) -> tuple[int, Mapping[str, Any]]:
-        """Return number and tree of the version in force."""
+        """Return number and tree of the version in force.
+
+        :returns: ``(0, {})`` before the first version.
+        """
         version = self.tree_watch.book.current
         if version is None:
             return 0, {}
         return version.number, tree_mapping(version.tree)
 
     def status(self) -> dict[str, Any]:
-        """Return what holds, as this instance knows it."""
+        """Return the status document for operators, as known here."""
         versions = describe_versions(
             self.gossip.membership.members,
             self.tree_watch.book.number,
@@ -246,41 +261,54 @@
         }
 
     def metrics(self) -> bytes:
-        """Return the counters."""
-        book = self.metrics_book
-        book.state('open_requests', self.relay.open_requests)
-        book.state('open_streams', self.watch.open_streams)
-        book.state('live_instances', len(self.gossip.membership.live))
-        book.state('tree_version', self.tree_watch.book.number)
-        book.state('peer_bytes_sent', self.gossip.bytes_sent)
-        book.state('peer_packets_sent', self.gossip.packets_sent)
-        return book.render()
+        """Return all metrics in the Prometheus text format."""
+        metrics = self.process_metrics
+        metrics.set_state('open_requests', self.relay.open_requests)
+        metrics.set_state('open_streams', self.stream_monitor.open_streams)
+        metrics.set_state('live_instances', len(self.gossip.membership.live))
+        metrics.set_state('tree_version', self.tree_watch.book.number)
+        metrics.set_state('peer_bytes_sent', self.gossip.bytes_sent)
+        metrics.set_state('peer_packets_sent', self.gossip.packets_sent)
+        return metrics.render()
 
     async def propose(self, proposal: Proposal) -> int:
-        """Accept an edit and put it in force here at once."""
+        """Store an edit as a new version and put it in force here at once.
+
+        :returns: the number of the version.
+        """
         version = await self._repository.propose(proposal)
         self.tree_watch.adopt_if_newer(version)
         return version.number
 
     async def history(self) -> tuple[Edit, ...]:
-        """Return the latest edits."""
+        """Return the latest accepted edits of the tree."""
         return await self._repository.history()
 
     async def tree_at(self, number: int) -> Mapping[str, Any]:
-        """Return an earlier tree."""
+        """Return the tree of an accepted version by its number."""
         return await self._repository.tree_at(number)
 
     def tree_newer_than(self, number: int) -> tuple[int, str]:
-        """Return number and text of the version in force for a peer."""
+        """Return the version in force to a peer that has an older one.
+
+        :param number: version of the peer.
+        :returns: the number in force and the tree as YAML, or an empty text
+            where it is not newer than the peer's.
+        """
         version = self.tree_watch.book.current
         if version is None or version.number <= number:
             return self.tree_watch.book.number, ''
         return version.number, version.text
 
     def counts_after(self, second: int) -> pb.CountsReply:
-        """Return this instance's counts for a peer."""
+        """Return this instance's counts for a peer.
+
+        The current second is left out, because it is still being counted.
+
+        :param second: the last second whose counts the peer already has.
+        """
         last = int(self._loop.time()) - 1
-        counts = encode_after(self._counts, second, last)
+        counts = encode_counts_after(self._counts, second, last)
         return pb.CountsReply(counts=counts, last_second=last)
 
     @asynccontextmanager
@@ -302,20 +330,22 @@
             for running in (
                 self.gossip.run(),
                 self.host.run(),
-                self.watch.run(),
+                self.stream_monitor.run(),
                 self.tree_watch.run(),
                 self._claims.run(),
                 self._lease.run(),
                 self._status.run(),
                 self._engines.run(),
-                poll_listing(settings.platform, self._take_listing),
-                self._recheck(),
+                poll_listing(settings.platform, self._on_listing),
+                self._recheck_brokers(),
                 self._claims.run_expiry(self._lease),
             )
         ]
         try:
-            async with self._front.listening():
-                self._log.note('Serving.', callers=settings.callers)
+            async with self._frontend.listening():
+                self._log.note(
+                    'The instance accepts callers.', callers=settings.callers
+                )
                 yield tasks
         finally:
             self._close(tasks, peer_server)
@@ -327,21 +357,21 @@
         self._links.close()
         self._store.close()
 
-    async def _finish(self) -> None:
-        await asyncio.sleep(LEAVING_NOTICE_S)
+    async def _finish_drain(self) -> None:
+        await asyncio.sleep(LEAVE_NOTICE_S)
         self.relay.leaving = True
         await self.relay.drain()
-        await asyncio.sleep(LEAVING_NOTICE_S)
+        await asyncio.sleep(LEAVE_NOTICE_S)
         await self.relay.drain()
-        self._log.note('Left.')
+        self._log.note('The process ends.')
         self.stopped.set()
 
-    async def _recheck(self) -> None:
+    async def _recheck_brokers(self) -> None:
         while True:
-            await asyncio.sleep(RECHECK_EVERY_S)
+            await asyncio.sleep(RECHECK_INTERVAL_S)
             self.dispatcher.recheck()
 
-    def _take_listing(self, listing: Listing) -> None:
+    def _on_listing(self, listing: Listing) -> None:
         self._listing = listing
         seeds = [
             Member(entry.name, entry.peer_address, entry.caller_address)
@@ -358,7 +388,7 @@
             server.name: server.address for server in listing.servers
         }
 
-    def _take_members(self) -> None:
+    def _on_members(self) -> None:
         membership = self.gossip.membership
         live = membership.live
         self._links.update_addresses(
@@ -367,14 +397,14 @@
         self.tree_watch.update_members(tuple(live))
         names = {member.name for member in membership.serving}
         alive = {member.name for member in live}
-        for gone in self.dispatcher.instances - alive:
-            self.host.remove_entry(gone)
+        for dead in self.dispatcher.instances - alive:
+            self.host.remove_entry(dead)
         self.dispatcher.update_instances(names)
 
-    def _take_version(self, version: TreeVersion) -> None:
-        self._tell_self()
+    def _on_version(self, version: TreeVersion) -> None:
+        self._announce_self()
 
-    def _tell_self(self) -> None:
+    def _announce_self(self) -> None:
         self.gossip.update_own_state(
             leaving=self._leaving,
             tree_version=self.tree_watch.book.number,
@@ -383,7 +413,7 @@
     def _address_of(self, server: str) -> str:
         return self._addresses.get(server, '')
 
-    def _policy_of(self, group: str) -> BrokerPolicy:
+    def _policy_for(self, group: str) -> BrokerPolicy:
         version = self.tree_watch.book.current
         pool = Pool()
         if version is not None:
@@ -395,5 +425,5 @@
         return broker_policy(self._settings.decisions, pool, instance_count)
 
 
-def _stamp() -> str:
+def _timestamp() -> str:
     return datetime.now(UTC).isoformat(timespec='seconds')
--- a/src/siskinpass/process/overview.py
+++ b/src/siskinpass/process/overview.py
@@ -1,4 +1,4 @@
-"""Describe what holds, as one instance knows it."""
+"""Parts of the status document that describe versions and brokers."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -14,14 +14,15 @@
     members: Iterable[Member],
     number: int,
 ) -> dict[str, Any]:
-    """Tell which version is in force on which instance.
+    """Return which version of the tree is in force at which instance.
 
-    :param number: version in force at the instance that is asked.
+    :param number: version in force at this instance; members with a lower one
+        are listed under ``behind`` unless they are dead.
     """
-    known = tuple(members)
+    known_members = tuple(members)
     behind = [
         member.name
-        for member in known
+        for member in known_members
         if member.tree_version < number and member.state != DEAD
     ]
     return {
@@ -34,17 +35,19 @@
                 'zone': member.zone,
                 'version': member.tree_version,
             }
-            for member in known
+            for member in known_members
         },
     }
 
 
 def describe_brokers(brokers: Mapping[str, Broker]) -> dict[str, Any]:
-    """Tell what the brokers of an instance decide on."""
-    return {group: _broker(broker) for group, broker in brokers.items()}
+    """Return the queue and the backend servers of each broker, by group."""
+    return {
+        group: _describe_broker(broker) for group, broker in brokers.items()
+    }
 
 
-def _broker(broker: Broker) -> dict[str, Any]:
+def _describe_broker(broker: Broker) -> dict[str, Any]:
     return {
         'waiting': broker.waiting,
         'running': broker.running,
--- a/src/siskinpass/process/relay.py
+++ b/src/siskinpass/process/relay.py
@@ -1,4 +1,4 @@
-"""Carry each caller's request to a backend server and its answer back."""
+"""Serve callers' requests: parsing, idempotency claims, answers and counts."""
 
 import asyncio
 import itertools
@@ -13,13 +13,13 @@
     RequestError,
     SiskinpassError,
 )
-from siskinpass.process.attempt import CallerGoneError
+from siskinpass.process.attempt import CallerDisconnectedError
 from siskinpass.process.claims import Claims, HeldClaim, Replay
 from siskinpass.process.counts import Outcome, TallyHistory
 from siskinpass.process.dispatcher import Dispatcher
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.metrics import Metrics
-from siskinpass.process.run import RequestRun, RunOutcome, RunTools
+from siskinpass.process.run import RequestRun, RunContext, RunOutcome
 from siskinpass.process.streams import StreamMonitor
 from siskinpass.request.answer import error_answer, whole_answer
 from siskinpass.request.call import Call, parse_call
@@ -34,58 +34,73 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayParts:
-    """Hold what the relay works with."""
+class RelayContext:
+    """Parts of the process that the relay uses.
+
+    :param name: name of this instance.
+    :param incarnation: number that differs after each start of the instance.
+    :param address_of: returns the address of a backend server, empty where it
+        is not listed.
+    :param sends_priority: whether engines are sent the tier as a priority.
+    :param other_address: returns the address of another instance for callers
+        that this one refuses while it is leaving, empty where there is none.
+    """
 
     name: str
     incarnation: int
-    book: CurrentVersion
+    current_version: CurrentVersion
     dispatcher: Dispatcher
     backends: BackendPool
-    watch: StreamMonitor
+    stream_monitor: StreamMonitor
     claims: Claims
     counts: TallyHistory
     metrics: Metrics
     address_of: Callable[[str], str]
-    tells_priority: bool
+    sends_priority: bool
     other_address: Callable[[], str]
 
 
 class Relay:
-    """Start a task for each request and bring it to its one answer."""
+    """Owner of the tasks that answer requests, one task for each.
+
+    :ivar leaving: whether new requests are refused because the instance is
+        leaving.
+    """
 
-    def __init__(self, parts: RelayParts) -> None:
-        """Keep the parts."""
-        self._parts = parts
+    def __init__(self, context: RelayContext) -> None:
+        self._context = context
         self._loop = asyncio.get_running_loop()
         self._numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._log = PartLog('relay')
-        self._tools = RunTools(
-            parts.name,
-            parts.dispatcher,
-            parts.backends,
-            parts.watch,
+        self._log = ComponentLog('relay')
+        self._run_context = RunContext(
+            context.name,
+            context.dispatcher,
+            context.backends,
+            context.stream_monitor,
             RetryBudget(),
-            parts.metrics.retried,
-            parts.address_of,
-            parts.tells_priority,
+            context.metrics.retried,
+            context.address_of,
+            context.sends_priority,
         )
         self.leaving = False
 
     @property
     def open_requests(self) -> int:
-        """Return how many requests are being answered."""
+        """Return the number of unfinished tasks.
+
+        These include writes that settle claims.
+        """
         return len(self._tasks)
 
     def serve(self, caller: CallerConnection, head: RequestHead) -> None:
-        """Start to answer a request."""
+        """Start a task that answers a request."""
         task = self._loop.create_task(self._serve(caller, head))
-        self._keep_task(task)
-        task.add_done_callback(lambda done: self._check_end(done, caller))
+        self._track_task(task)
+        task.add_done_callback(lambda done: self._on_task_done(done, caller))
 
     async def drain(self) -> None:
-        """Wait until every request is answered."""
+        """Wait until every request is answered and every claim is settled."""
         while self._tasks:
             await asyncio.wait(tuple(self._tasks))
 
@@ -96,7 +111,7 @@
     ) -> None:
         arrived_s = self._loop.time()
         try:
-            call = await self._check(caller, head)
+            call = await self._parse(caller, head)
         except SiskinpassError as error:
             self._answer_error(caller, error, MEANINGS[error.code].ran)
             return
@@ -104,7 +119,7 @@
         outcome = await self._answer(caller, head, call, request_id, arrived_s)
         self._count(call, outcome, arrived_s)
 
-    async def _check(
+    async def _parse(
         self,
         caller: CallerConnection,
         head: RequestHead,
@@ -117,9 +132,9 @@
                 Code.instance_leaving,
                 '',
                 LEAVING_RETRY_MS,
-                self._parts.other_address(),
+                self._context.other_address(),
             )
-        version = self._parts.book.current
+        version = self._context.current_version.current
         if version is None:
             raise RefusedError(Code.no_tree_in_force, '', MS_PER_S)
         return parse_call(head, body, version)
@@ -132,22 +147,22 @@
         request_id: str,
         arrived_s: float,
     ) -> RunOutcome:
-        run = RequestRun(self._tools, call, caller, request_id, arrived_s)
+        run = RequestRun(self._run_context, call, caller, request_id, arrived_s)
         claim = None
         try:
             claim = await self._claim(caller, head, call)
             if isinstance(claim, Replay):
                 return RunOutcome(request_id)
             await run.answer(keep_alive=head.keep_alive)
-        except CallerGoneError as error:
-            run.outcome.gone = True
+        except CallerDisconnectedError as error:
+            run.outcome.caller_gone = True
             caller.abort()
             self._settle(claim, call, run, error)
             return run.outcome
         except SiskinpassError as error:
             run.outcome.code = error.code
             self._settle(claim, call, run, error)
-            self._end_with_error(caller, run, error)
+            self._finish_with_error(caller, run, error)
             return run.outcome
         self._settle(claim, call, run, None)
         caller.finish(keep_alive=head.keep_alive and not self.leaving)
@@ -161,7 +176,7 @@
     ) -> HeldClaim | Replay | None:
         if call.repeatable or not call.idempotency_key:
             return None
-        claim = await self._parts.claims.acquire(call)
+        claim = await self._context.claims.acquire(call)
         if isinstance(claim, Replay):
             wire = whole_answer(
                 claim.status,
@@ -188,39 +203,46 @@
             state = ClaimState.not_run
         else:
             state = ClaimState.unknown
-        settling = self._parts.claims.settle(
+        settling = self._context.claims.settle(
             claim,
             state,
             run.outcome.status,
             run.outcome.body,
         )
-        self._keep_task(self._loop.create_task(settling))
+        self._track_task(self._loop.create_task(settling))
 
-    def _keep_task(self, task: asyncio.Task[None]) -> None:
+    def _track_task(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _check_end(
+    def _on_task_done(
         self,
         done: asyncio.Task[None],
         caller: CallerConnection,
     ) -> None:
-        """Cut a caller off rather than leave it without an end."""
+        """Close the caller's connection if its task raised an exception.
+
+        The caller would otherwise wait for an answer that never comes.
+        """
         if not done.cancelled() and done.exception() is not None:
-            self._log.warn('A request failed.', why=repr(done.exception()))
+            self._log.warn(
+                'A request failed with an internal error.',
+                why=repr(done.exception()),
+            )
             caller.abort()
 
-    def _end_with_error(
+    def _finish_with_error(
         self,
         caller: CallerConnection,
         run: RequestRun,
         error: SiskinpassError,
     ) -> None:
-        if run.started:
-            # A stream that has begun can only be cut, so that it is not
-            # taken for whole.
-            self._parts.metrics.refused(error.code)
-            run.write_late_error(error)
+        if run.stream_started:
+            # Once a stream has started, only closing the connection shows
+            # that it is incomplete.
+
+            self._context.metrics.refused(error.code)
+            run.write_error_event(error)
             caller.abort_after_write()
             return
         self._answer_error(caller, error, run.ran)
@@ -231,7 +253,7 @@
         error: SiskinpassError,
         ran: Ran,
     ) -> None:
-        self._parts.metrics.refused(error.code)
+        self._context.metrics.refused(error.code)
         wire = error_answer(
             error.code,
             str(error),
@@ -243,13 +265,13 @@
         caller.finish(keep_alive=False)
 
     def _count(self, call: Call, outcome: RunOutcome, arrived_s: float) -> None:
-        if outcome.gone:
+        if outcome.caller_gone:
             return
         if outcome.code is None:
-            self._parts.metrics.answered(call.node, outcome.tokens)
+            self._context.metrics.answered(call.node, outcome.tokens)
         class_settings = call.class_settings
-        met = outcome.code is None and outcome.meets(class_settings)
-        self._parts.counts.note(
+        met = outcome.code is None and outcome.meets_targets(class_settings)
+        self._context.counts.note(
             Outcome(
                 call.node,
                 met,
@@ -261,6 +283,6 @@
         )
 
     def _next_id(self) -> str:
-        parts = self._parts
+        context = self._context
         number = next(self._numbers)
-        return f'{parts.name}-{parts.incarnation}-{number}'
+        return f'{context.name}-{context.incarnation}-{number}'
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -1,4 +1,4 @@
-"""Bring one request to its answer, over as many attempts as it may take."""
+"""Run one request until it is answered, with as many attempts as it needs."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,7 +21,7 @@
     RefusedError,
     SiskinpassError,
 )
-from siskinpass.process.attempt import Attempt, CallerGoneError
+from siskinpass.process.attempt import Attempt, CallerDisconnectedError
 from siskinpass.process.dispatcher import Dispatcher
 from siskinpass.process.streams import StreamMonitor
 from siskinpass.request.answer import error_body, stream_head, whole_answer
@@ -32,13 +32,14 @@
 from siskinpass.version.schema import ClassSettings
 
 MS_PER_S = 1000
-ATTEMPTS_MOST = 16
-PAUSES_MOST = 3
+MAX_ATTEMPTS = 16
+MAX_PAUSES = 3
 BACKEND_RETRY_MS = 500
-ANSWER_BYTES_MOST = 8_388_608
+MAX_ANSWER_BYTES = 8_388_608
 
-# Attempts that end for these reasons are not the backend server's fault.
-UNCHARGED = frozenset((Code.retry_paused, Code.retry_backend_slow))
+# Reasons for ending an attempt that do not count as failures of its backend
+# server.
+NOT_SERVER_FAULTS = frozenset((Code.retry_paused, Code.retry_backend_slow))
 RETRY_REASONS = MappingProxyType({
     Code.backend_unreachable: Code.retry_connect_failed,
     Code.stream_cut: Code.retry_stream_cut,
@@ -50,18 +51,23 @@
 
 @dataclass(slots=True)
 class RunOutcome:
-    """Collect how a request went.
-
-    :param code: numbered code that ended it, none for a whole answer.
-    :param gone: whether the caller went away.
-    :param waited_ms: arrival to the first slot.
-    :param first_ms: arrival to the first token, 0 before it.
-    :param token_ms: mean time between tokens.
+    """Result and latencies of a request, filled in while it runs.
+
+    :param code: code of the error that ended it, ``None`` after a complete
+        answer.
+    :param caller_gone: whether the caller disconnected.
+    :param status: HTTP status of the answer, 0 for a stream or for no answer.
+    :param body: body of the answer, empty where it was streamed.
+    :param tokens: tokens passed on to the caller.
+    :param waited_ms: time from arrival to the first slot.
+    :param first_ms: time from arrival to the first token, 0 before it; for a
+        service, to the complete answer.
+    :param token_ms: mean time between tokens, 0 with fewer than two.
     """
 
     request_id: str
     code: Code | None = None
-    gone: bool = False
+    caller_gone: bool = False
     status: int = 0
     body: bytes = b''
     tokens: int = 0
@@ -69,42 +75,55 @@
     first_ms: float = 0
     token_ms: float = 0
 
-    def meets(self, class_settings: ClassSettings) -> bool:
-        """Tell whether the latency targets of a class were met."""
+    def meets_targets(self, class_settings: ClassSettings) -> bool:
+        """Return whether both latency targets of a class were met."""
         in_time = self.first_ms <= class_settings.first_token_ms
         return in_time and self.token_ms <= class_settings.token_ms
 
 
 @dataclass(frozen=True, slots=True)
-class RunTools:
-    """Hold what every run works with.
-
-    :param tells_priority: whether engines are told the tier.
+class RunContext:
+    """Parts of the process that every request uses.
+
+    :param name: name of this instance.
+    :param budget: retry budgets of the request classes.
+    :param note_retry: counts a retry by its reason.
+    :param address_of: returns the address of a backend server, empty where it
+        is not listed.
+    :param sends_priority: whether engines are sent the tier as a priority;
+        otherwise they all get 0.
     """
 
     name: str
     dispatcher: Dispatcher
     backends: BackendPool
-    watch: StreamMonitor
+    stream_monitor: StreamMonitor
     budget: RetryBudget
     note_retry: Callable[[Code], None]
     address_of: Callable[[str], str]
-    tells_priority: bool
+    sends_priority: bool
 
 
 class RequestRun:
-    """Own one request from its check to its end."""
+    """One parsed request, from its first attempt until it has ended.
+
+    :ivar stream_started: whether the head of a stream was sent to the caller.
+    :ivar ran: whether a backend server ran the request, as far as is known.
+    """
 
     def __init__(
         self,
-        tools: RunTools,
+        context: RunContext,
         call: Call,
         caller: CallerConnection,
         request_id: str,
         arrived_s: float,
     ) -> None:
-        """Start before the first attempt."""
-        self._tools = tools
+        """Prepare the request; nothing is sent before ``answer``.
+
+        :param arrived_s: arrival of the request, on the event loop's clock.
+        """
+        self._context = context
         self._call = call
         self._caller = caller
         self._arrived_s = arrived_s
@@ -112,15 +131,15 @@
         self._attempt: Attempt | None = None
         self._slot: asyncio.Future[str] | None = None
         self._avoid = ''
-        self._pauses = 0
+        self._pause_count = 0
         self._events: list[bytes] = []
-        self._kept_bytes = 0
+        self._buffered_bytes = 0
         self._is_service = bool(call.service_path)
         self._parser = None
         if not self._is_service:
             self._parser = TokenStreamParser(event_marker(request_id))
         self._keep_alive = False
-        self.started = False
+        self.stream_started = False
         self.ran = Ran.not_run
         self.outcome = RunOutcome(request_id)
 
@@ -131,23 +150,26 @@
     @property
     def _is_pausable(self) -> bool:
         may_repeat = self._call.repeatable and not self._is_service
-        return may_repeat and self._pauses < PAUSES_MOST
+        return may_repeat and self._pause_count < MAX_PAUSES
 
     async def answer(self, *, keep_alive: bool) -> None:
-        """Answer the caller wholly.
+        """Make attempts until the caller has its complete answer.
 
-        :raises RefusedError: where the request was given up on.
-        :raises BackendError: where a backend server failed it for good.
-        :raises CallerGoneError: where the caller went away.
+        :param keep_alive: whether the answer leaves the connection open.
+        :raises RefusedError: if the broker refused the request.
+        :raises BackendError: if an attempt failed and no retry is allowed.
+        :raises CallerDisconnectedError: if the caller disconnected.
         """
         self._keep_alive = keep_alive
-        self._caller.on_lost = self._lose_caller
+        self._caller.on_lost = self._on_caller_lost
         self._caller.on_writable = self._set_reading
         class_settings = self._call.class_settings
-        self._tools.budget.earn(self._call.node, class_settings.retry_fraction)
-        for number in range(ATTEMPTS_MOST):
+        self._context.budget.earn(
+            self._call.node, class_settings.retry_fraction
+        )
+        for number in range(MAX_ATTEMPTS):
             try:
-                await self._try(f'{self.outcome.request_id}.{number}')
+                await self._run_attempt(f'{self.outcome.request_id}.{number}')
             except BackendError as error:
                 self._prepare_retry(error)
             else:
@@ -155,42 +177,42 @@
                 return
         raise BackendError(Code.retry_budget_spent)
 
-    def write_late_error(self, error: SiskinpassError) -> None:
-        """Tell of an error within a stream that has begun."""
+    def write_error_event(self, error: SiskinpassError) -> None:
+        """Send an error as an event of a stream that has started."""
         body = error_body(error.code, str(error), error.retry_after_ms)
         self._caller.write_chunk(b'event: error\ndata: %b\n\n' % body)
 
     def granted(self, server: str) -> None:
-        """Take in that the ticket has a slot."""
+        """Continue with the slot that the broker granted on a server."""
         if self._slot is not None and not self._slot.done():
             self._slot.set_result(server)
 
     def refused(self, refusal: Refused) -> None:
-        """Take in that the ticket is given up on."""
+        """End the request with the broker's refusal of its ticket."""
         if self._slot is not None and not self._slot.done():
             error = RefusedError(refusal.code, '', refusal.retry_after_ms)
             self._slot.set_exception(error)
 
     def paused(self) -> None:
-        """Make room for an upper tier."""
+        """Abort the attempt, to resume it later, for a more urgent tier."""
         if self._attempt is not None:
-            self._attempt.break_off(BackendError(Code.retry_paused))
+            self._attempt.abort(BackendError(Code.retry_paused))
 
     def moved(self) -> None:
-        """Go on at another backend server."""
+        """Abort the attempt, to resume it on another backend server."""
         if self._attempt is not None:
-            self._attempt.break_off(BackendError(Code.retry_backend_slow))
+            self._attempt.abort(BackendError(Code.retry_backend_slow))
 
-    async def _try(self, ticket_id: str) -> None:
+    async def _run_attempt(self, ticket_id: str) -> None:
         pool = self._call.class_settings.pool
-        dispatcher = self._tools.dispatcher
+        dispatcher = self._context.dispatcher
         server = await self._wait_for_slot(ticket_id)
         failed = True
         try:
             await self._run_on(server)
             failed = False
         except BackendError as error:
-            failed = error.code not in UNCHARGED
+            failed = error.code not in NOT_SERVER_FAULTS
             raise
         finally:
             dispatcher.release(pool, ticket_id, failed=failed)
@@ -198,10 +220,10 @@
     async def _wait_for_slot(self, ticket_id: str) -> str:
         class_settings = self._call.class_settings
         if not self._caller.is_open:
-            raise CallerGoneError(Code.stream_cut)
+            raise CallerDisconnectedError(Code.stream_cut)
         ticket = Ticket(
             ticket_id=ticket_id,
-            entry=self._tools.name,
+            entry=self._context.name,
             pool=class_settings.pool,
             node=self._call.node,
             tier=class_settings.tier,
@@ -211,16 +233,16 @@
             share=class_settings.share,
             prefix=self._call.prefix,
             pausable=self._is_pausable,
-            resumed=self._has_tokens or self._pauses > 0,
+            resumed=self._has_tokens or self._pause_count > 0,
             avoid=self._avoid,
             token_s=class_settings.token_ms / MS_PER_S,
         )
         self._slot = self._loop.create_future()
         try:
-            self._tools.dispatcher.ask(ticket, self)
+            self._context.dispatcher.ask(ticket, self)
             server = await self._slot
-        except CallerGoneError:
-            self._tools.dispatcher.withdraw(class_settings.pool, ticket_id)
+        except CallerDisconnectedError:
+            self._context.dispatcher.withdraw(class_settings.pool, ticket_id)
             raise
         finally:
             self._slot = None
@@ -229,15 +251,18 @@
         return server
 
     async def _run_on(self, server: str) -> None:
-        address = self._tools.address_of(server)
+        address = self._context.address_of(server)
         self._avoid = server
         if not address:
-            raise ConnectError(Code.backend_unreachable, f'no {server}')
+            raise ConnectError(
+                Code.backend_unreachable,
+                f'no address for backend server {server}',
+            )
         fresh = not self._call.repeatable
-        connection = await self._tools.backends.connect(address, fresh=fresh)
+        connection = await self._context.backends.connect(address, fresh=fresh)
         if not self._caller.is_open:
             connection.cancel()
-            raise CallerGoneError(Code.stream_cut)
+            raise CallerDisconnectedError(Code.stream_cut)
         attempt = Attempt(
             self._call.class_settings.pool,
             server,
@@ -245,23 +270,23 @@
             self._forward,
         )
         self._attempt = attempt
-        # From here on the backend server may have run the request.
+        # The backend server may run the request from here on.
         self.ran = Ran.unknown
         attempt.start(connection, self._request(address))
-        self._tools.watch.add(attempt)
+        self._context.stream_monitor.add(attempt)
         try:
             await attempt.finished
         finally:
             self._attempt = None
-            self._tools.watch.discard(attempt)
-        self._check_whole(attempt)
+            self._context.stream_monitor.discard(attempt)
+        self._check_answer(attempt)
 
     def _request(self, address: str) -> bytes:
         request_id = self.outcome.request_id
         if self._is_service:
             return encode_service_request(self._call, request_id, address)
         priority = 0
-        if self._tools.tells_priority:
+        if self._context.sends_priority:
             priority = self._call.class_settings.tier
         return encode_engine_request(
             self._call,
@@ -270,12 +295,13 @@
             EngineOptions(priority, self._parser.tokens),
         )
 
-    def _check_whole(self, attempt: Attempt) -> None:
+    def _check_answer(self, attempt: Attempt) -> None:
         if self._is_service:
-            told = attempt.headers.get('x-request-id')
-            if told != self.outcome.request_id:
+            echoed_id = attempt.headers.get('x-request-id')
+            if echoed_id != self.outcome.request_id:
                 self._events.clear()
                 raise BackendError(Code.answer_crossed)
+
             self.outcome.status = attempt.status
         self.ran = Ran.was_run
 
@@ -286,17 +312,17 @@
             self._start_stream()
             self._caller.write_chunk(piece)
             return
-        self._kept_bytes += len(piece)
-        if self._kept_bytes > ANSWER_BYTES_MOST:
+        self._buffered_bytes += len(piece)
+        if self._buffered_bytes > MAX_ANSWER_BYTES:
             error = BackendError(Code.backend_error, 'the answer is too large')
-            self._attempt.break_off(error)
+            self._attempt.abort(error)
             return
         self._events.append(piece)
 
     def _start_stream(self) -> None:
-        if self.started:
+        if self.stream_started:
             return
-        self.started = True
+        self.stream_started = True
         headers = {
             'X-Request-Id': self.outcome.request_id,
             'X-Siskinpass-Ran': Ran.was_run.value,
@@ -306,19 +332,19 @@
         )
 
     def _finish(self) -> None:
-        self._note_tokens()
+        self._record_tokens()
         if self._call.stream and not self._is_service:
             self._start_stream()
             self._caller.write(LAST_CHUNK)
             return
-        kept = b''.join(self._events)
+        joined = b''.join(self._events)
         if self._is_service:
-            self.outcome.body = kept
+            self.outcome.body = joined
             self.outcome.first_ms = self._since_arrival_ms()
         else:
             chat = self._call.path == CHAT_PATH
             self.outcome.status = 200
-            self.outcome.body = assemble_answer(kept, chat=chat)
+            self.outcome.body = assemble_answer(joined, chat=chat)
         headers = {
             'X-Request-Id': self.outcome.request_id,
             'X-Siskinpass-Ran': Ran.was_run.value,
@@ -332,7 +358,7 @@
             ),
         )
 
-    def _note_tokens(self) -> None:
+    def _record_tokens(self) -> None:
         if self._parser is None:
             return
         self.outcome.tokens = self._parser.tokens
@@ -342,36 +368,37 @@
             self.outcome.token_ms = span_s * MS_PER_S / gaps
 
     def _prepare_retry(self, error: BackendError) -> None:
-        """Make ready for another attempt, or raise where there is none."""
+        """Reset the state for another attempt, or raise if none is allowed."""
         if self._parser is not None:
             self._parser.drop_partial()
         if self._is_service:
             self._events.clear()
         self._check_may_retry(error)
-        if error.code in UNCHARGED:
-            self._pauses += 1
-        elif self._is_charged(error) and not self._spend_retry():
+        if error.code in NOT_SERVER_FAULTS:
+            self._pause_count += 1
+        elif self._uses_retry_budget(error) and not self._spend_retry():
             raise BackendError(
                 Code.retry_budget_spent,
                 str(error),
                 BACKEND_RETRY_MS,
             ) from error
-        self._tools.note_retry(RETRY_REASONS.get(error.code, error.code))
+        self._context.note_retry(RETRY_REASONS.get(error.code, error.code))
 
-    def _is_charged(self, error: BackendError) -> bool:
-        """Tell whether an attempt comes out of the retry budget.
+    def _uses_retry_budget(self, error: BackendError) -> bool:
+        """Return whether a retry counts against the retry budget.
 
-        A stream that has begun must be brought to its end, and a connection
-        that was refused cost the backend server nothing.
+        It does not if tokens were already delivered, because such a stream has
+        to be completed, nor after a failed connect, which did not load the
+        backend server.
         """
         return not (self._has_tokens or isinstance(error, ConnectError))
 
     def _spend_retry(self) -> bool:
-        return self._tools.budget.spend(self._call.node)
+        return self._context.budget.spend(self._call.node)
 
     def _check_may_retry(self, error: BackendError) -> None:
         if isinstance(error, ConnectError):
-            # Nothing was sent in this attempt; an earlier one may have run.
+            # This attempt sent nothing, but an earlier one may have run.
             return
         if error.code is Code.retry_backend_leaving:
             self.ran = self.ran if self._has_tokens else Ran.not_run
@@ -379,12 +406,12 @@
         if not self._call.repeatable:
             raise BackendError(Code.outcome_unknown, str(error)) from error
 
-    def _lose_caller(self) -> None:
-        error = CallerGoneError(Code.stream_cut)
+    def _on_caller_lost(self) -> None:
+        error = CallerDisconnectedError(Code.stream_cut)
         if self._slot is not None and not self._slot.done():
             self._slot.set_exception(error)
         if self._attempt is not None:
-            self._attempt.break_off(error)
+            self._attempt.abort(error)
 
     def _set_reading(self, *, on: bool) -> None:
         if self._attempt is not None:
--- a/src/siskinpass/process/settings.py
+++ b/src/siskinpass/process/settings.py
@@ -1,4 +1,4 @@
-"""Check the settings of one process."""
+"""Settings of one process and their validation."""
 
 import ipaddress
 import ssl
@@ -14,25 +14,27 @@
 LEAST_OUTSTANDING = 'least-outstanding'
 FIFO_RANDOM = 'fifo-random'
 DECISIONS = (SHARED, PRIORITY_LOCAL, LEAST_OUTSTANDING, FIFO_RANDOM)
-PORT_MOST = 65_535
-KEY_LENGTH_LEAST = 8
+MAX_PORT = 65_535
+MIN_KEY_LENGTH = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Hold the settings of one entry instance.
+    """Settings of one entry instance.
 
     Addresses are ``ip:port``.
 
     :param callers: address that callers connect to.
-    :param operators: address of the operators' side.
-    :param peers: address of heartbeats and broker sessions.
-    :param announced_callers: what ``/address`` tells, if not ``callers``.
-    :param announced_peers: what other instances are told, if not ``peers``.
-    :param platform: object store and instance list.
+    :param operators: address that operators connect to.
+    :param peers: address for heartbeats and broker sessions.
+    :param announced_callers: address that ``/address`` returns for this
+        instance, if not ``callers``.
+    :param announced_peers: address that other instances use for this one, if
+        not ``peers``.
+    :param platform: address of the object store and the list of instances.
     :param threads: request threads of CherryPy's server.
     :param decisions: ``shared`` for one broker for all instances. The others
-        are baselines in which each instance decides for itself:
+        are baselines in which each instance decides on its own:
         ``priority-local``, ``least-outstanding`` and ``fifo-random``.
     """
 
@@ -56,18 +58,22 @@
 
 
 def check_settings(settings: Settings) -> None:
-    """Check the settings.
+    """Validate the settings, including the files that they name.
 
     :raises SettingsError: for the first setting that is wrong.
     """
     _check_addresses(settings)
     _check_keys(settings)
     if settings.threads < 1:
-        raise _wrong('threads', 'is less than 1')
+        raise _settings_error('threads', 'is less than 1')
     if settings.decisions not in DECISIONS:
-        raise _wrong('decisions', f'is not one of {", ".join(DECISIONS)}')
+        raise _settings_error(
+            'decisions', f'is not one of {", ".join(DECISIONS)}'
+        )
     if not settings.name.replace('-', '').isalnum():
-        raise _wrong('name', 'is not made of letters, digits and dashes')
+        raise _settings_error(
+            'name', 'is not made of letters, digits and dashes'
+        )
     load_tls(settings)
     load_peer_security(settings)
 
@@ -82,12 +88,17 @@
 
 def _check_keys(settings: Settings) -> None:
     for name in ('operator_key', 'peer_key'):
-        if len(getattr(settings, name)) < KEY_LENGTH_LEAST:
-            raise _wrong(name, f'is shorter than {KEY_LENGTH_LEAST}')
+        if len(getattr(settings, name)) < MIN_KEY_LENGTH:
+            raise _settings_error(
+                name, f'is shorter than {MIN_KEY_LENGTH} characters'
+            )
 
 
 def load_tls(settings: Settings) -> ssl.SSLContext | None:
-    """Return the TLS context of callers' and operators' sides, or none."""
+    """Return the TLS context for callers and operators, ``None`` without TLS.
+
+    :raises SettingsError: if the certificate or its key cannot be loaded.
+    """
     if settings.certificate is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -101,7 +112,13 @@
 
 
 def load_peer_security(settings: Settings) -> PeerSecurity:
-    """Return what the instances show each other."""
+    """Return the credentials with which instances authenticate to each other.
+
+    With a certificate, connections use mutual TLS.
+
+    :raises SettingsError: if a certificate or key cannot be loaded, or if the
+        authority is missing.
+    """
     if settings.peer_certificate is None:
         return PeerSecurity(settings.peer_key)
     server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -129,28 +146,28 @@
     try:
         context.load_cert_chain(certificate, private_key)
     except (OSError, ssl.SSLError) as error:
-        raise _wrong(name, f'cannot be loaded: {error}') from error
+        raise _settings_error(name, f'cannot be loaded: {error}') from error
 
 
 def _load_authority(context: ssl.SSLContext, authority: Path | None) -> None:
     if authority is None:
-        raise _wrong('peer_authority', 'is missing')
+        raise _settings_error('peer_authority', 'is missing')
     try:
         context.load_verify_locations(authority)
     except (OSError, ssl.SSLError) as error:
         reason = f'cannot be loaded: {error}'
-        raise _wrong('peer_authority', reason) from error
+        raise _settings_error('peer_authority', reason) from error
 
 
 def _check_address(name: str, address: str) -> None:
     host, colon, port = address.rpartition(':')
-    if not colon or not port.isdigit() or int(port) > PORT_MOST:
-        raise _wrong(name, f'is not ip:port: {address}')
+    if not colon or not port.isdigit() or int(port) > MAX_PORT:
+        raise _settings_error(name, f'is not ip:port: {address}')
     try:
         ipaddress.ip_address(host)
     except ValueError as error:
-        raise _wrong(name, f'is not an IP number: {host}') from error
+        raise _settings_error(name, f'is not an IP address: {host}') from error
 
 
-def _wrong(name: str, reason: str) -> SettingsError:
+def _settings_error(name: str, reason: str) -> SettingsError:
     return SettingsError(Code.setting_wrong, f'{name} {reason}')
--- a/src/siskinpass/process/store_lease.py
+++ b/src/siskinpass/process/store_lease.py
@@ -4,7 +4,7 @@
 
 from siskinpass.exceptions import StoreError
 from siskinpass.process.lease import LeaseLogic, LeaseRecord
-from siskinpass.process.logs import PartLog
+from siskinpass.process.logs import ComponentLog
 from siskinpass.process.store import Store
 
 STATUS_LEASE_KEY = 'leases/status'
@@ -26,7 +26,7 @@
         self._key = key
         self._logic = LeaseLogic(own, LEASE_LENGTH_S, MARGIN_S)
         self._loop = asyncio.get_running_loop()
-        self._log = PartLog('lease')
+        self._log = ComponentLog('lease')
 
     @property
     def fence(self) -> int | None:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Test how a failed request is explained from the logs alone."""
+"""Test that the logs alone explain why a request failed."""
 
 import asyncio
 import io
@@ -8,38 +8,38 @@
 import pytest
 
 from siskinpass.cli_explain import STATUS_UNKNOWN, explain
-from siskinpass.process.request_story import read_log, tell_story
+from siskinpass.process.request_timeline import build_timeline, read_log
 from tests.fleet import KEY, config, running_fleet, wait_until
 
-ASKED_FOR = 'the-one'
-OTHERS = 40
+CALL_ID = 'the-one'
+OTHER_COUNT = 40
 
 
-async def cut_by_a_crash(fleet):
-    """Break a stream off that may not be resumed."""
+async def cut_by_crash(fleet):
+    """Cut a stream that must not be resumed."""
     for worker in fleet.servers:
         worker.faults.cuts = 1
-    answer = await fleet.ask('/plain-stream/x', call=ASKED_FOR)
+    answer = await fleet.ask('/plain-stream/x', call=CALL_ID)
     assert not answer.is_whole
 
 
 async def refused_under_load(fleet):
-    """Fill every slot, so that one more request waits in vain."""
+    """Fill every slot, so that another request waits until it is refused."""
     for worker in fleet.servers:
-        worker.faults.silent = OTHERS
-    asked = [
+        worker.faults.silent = OTHER_COUNT
+    tasks = [
         asyncio.ensure_future(fleet.ask('/once/x', call=f'other-{number}'))
-        for number in range(OTHERS)
+        for number in range(OTHER_COUNT)
     ]
-    await wait_until(lambda: len(fleet.runs) >= 18, 'all slots taken')
-    answer = await fleet.ask('/once/x', call=ASKED_FOR)
+    await wait_until(lambda: len(fleet.runs) >= 18, 'all slots to be taken')
+    answer = await fleet.ask('/once/x', call=CALL_ID)
     assert answer.status == 503
-    for task in asked:
+    for task in tasks:
         task.cancel()
 
 
-async def hit_by_a_change(fleet):
-    """Take the caller's key away."""
+async def refused_after_key_removed(fleet):
+    """Remove the caller's key from the configuration."""
     changed = config(4) | {'tenants': [{'name': 'w', 'api-keys': ['new']}]}
     await fleet.store.put('config', 'main', changed)
 
@@ -47,27 +47,27 @@
         answer = await fleet.ask('/once/x', call='probe')
         return answer.status == 401
 
-    await wait_until(is_refused, 'the key is gone')
-    answer = await fleet.ask('/once/x', call=ASKED_FOR, key=KEY)
+    await wait_until(is_refused, 'the removal of the key')
+    answer = await fleet.ask('/once/x', call=CALL_ID, key=KEY)
     assert answer.status == 401
 
 
-async def story_of(fail):
-    """Return what is told of a request that was made to fail."""
+async def timeline_after(fail):
+    """Return the timeline of a request that was made to fail."""
     async with running_fleet() as fleet:
         await fail(fleet)
         await asyncio.sleep(0.2)
-        return tell_story(tuple(read_log(fleet.log.splitlines())), ASKED_FOR)
+        return build_timeline(tuple(read_log(fleet.log.splitlines())), CALL_ID)
 
 
-class TestStories:
-    """Test the way from an id to the cause over real instances."""
+class TestTimelineOfFailures:
+    """Test on running instances that the timeline shows the cause."""
 
     @pytest.mark.parametrize(
-        ('fail', 'told'),
+        ('fail', 'expected'),
         [
             (
-                cut_by_a_crash,
+                cut_by_crash,
                 ['A request goes to a server', 'ending=cut', 'step=cut'],
             ),
             (
@@ -75,7 +75,7 @@
                 ['A request was refused', 'reason=wait_too_long'],
             ),
             (
-                hit_by_a_change,
+                refused_after_key_removed,
                 [
                     'reason=unknown_key',
                     'A configuration is in force. version=4',
@@ -83,19 +83,21 @@
             ),
         ],
     )
-    def test_cause_is_told(self, fail, told):
-        """The story names the cause, and the instance."""
-        story = asyncio.run(asyncio.wait_for(story_of(fail), 60))
-        whole = '\n'.join(story)
-        for words in told:
-            assert words in whole
-        assert 'front-1' in story[0]
-        assert 'other-' not in whole
+    def test_timeline_names_the_cause(self, fail, expected):
+        """The timeline names the cause and the instance, but no other calls."""
+        timeline = asyncio.run(asyncio.wait_for(timeline_after(fail), 60))
+        text = '\n'.join(timeline)
+        for words in expected:
+            assert words in text
+        assert 'front-1' in timeline[0]
+        assert 'other-' not in text
 
     def test_request_that_waited_did_not_run(self):
-        """A refusal under load shows no server: nothing ran."""
-        story = asyncio.run(asyncio.wait_for(story_of(refused_under_load), 60))
-        assert not [line for line in story if 'goes to a server' in line]
+        """A request that was refused while queued was sent to no server."""
+        timeline = asyncio.run(
+            asyncio.wait_for(timeline_after(refused_under_load), 60)
+        )
+        assert not [line for line in timeline if 'goes to a server' in line]
 
 
 LOG = b"""
@@ -114,17 +116,17 @@
 """  # noqa: E501
 
 
-class TestReading:
-    """Test what is taken from logs of many instances."""
+class TestParsedLogs:
+    """Test the timeline built from given log lines of several instances."""
 
-    def test_order_and_surroundings(self):
-        """Lines come in order of time, with what happened around them."""
-        story = tell_story(tuple(read_log(LOG.splitlines())), 'a')
-        assert [line.split(' s ')[0].strip() for line in story[:2]] == [
+    def test_own_lines_precede_context(self):
+        """The request's lines come in order of time, then those around them."""
+        timeline = build_timeline(tuple(read_log(LOG.splitlines())), 'a')
+        assert [line.split(' s ')[0].strip() for line in timeline[:2]] == [
             '+0.000',
             '+0.500',
         ]
-        assert story[2:] == [
+        assert timeline[2:] == [
             'Around it:',
             '  +0.100 s f-2 The store does not answer.',
             '  +0.700 s f-3 A server has no entry any more. server=e-1',
@@ -132,7 +134,7 @@
         ]
 
     def test_unknown_id(self, monkeypatch):
-        """An id that no line names is told apart by the status."""
+        """For an id that is not in the logs, the exit status says so."""
         monkeypatch.setattr(
             sys, 'stdin', SimpleNamespace(buffer=io.BytesIO(LOG))
         )
@@ -141,7 +143,7 @@
         assert ended.value.code == STATUS_UNKNOWN
 
     def test_known_id(self, monkeypatch, capsys):
-        """The story goes to standard output."""
+        """The timeline is written to standard output."""
         monkeypatch.setattr(
             sys, 'stdin', SimpleNamespace(buffer=io.BytesIO(LOG))
         )
