--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -60,9 +60,9 @@
     broken: str = '',
 ) -> None:
     """Break a deployment at random and check every promise."""
-    verdict = chaos.chaos(seed, minutes, broken)
-    chaos.show(verdict)
-    sys.exit(1 if verdict.violations else 0)
+    result = chaos.chaos(seed, minutes, broken)
+    chaos.show(result)
+    sys.exit(1 if result.violations else 0)
 
 
 @app.command(name='capacity')
--- a/bench/bound.py
+++ b/bench/bound.py
@@ -13,7 +13,7 @@
 
 from bench.cluster import Plan
 from bench.load import Job
-from bench.summary import promises
+from bench.summary import load_class_settings
 
 STEP_MS = 10.0
 SEQUENCE_MS = 0.6
@@ -22,7 +22,7 @@
 
 def bound_attainment(jobs: Sequence[Job], plan: Plan) -> dict[str, float]:
     """Return the attainment that cannot be passed, by class."""
-    known = promises(plan.tree)
+    known = load_class_settings(plan.tree)
     token_s = (STEP_MS + SEQUENCE_MS * SLOTS) / 1000
     slots = SLOTS * len(plan.engines)
     met: dict[str, list[bool]] = defaultdict(list)
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -14,7 +14,7 @@
 import orjson
 import uvloop
 
-from bench.chaos_checks import Evidence, find_violations, memory_growth
+from bench.chaos_checks import Observations, find_violations, memory_growth
 from bench.cluster import BUILD, Cluster, Entry, deployment, running
 from bench.load import Answer, Job, Target, as_row, send
 from bench.overhead import usage
@@ -33,7 +33,7 @@
 QUIET_S = 1.5
 
 
-class Chaos:
+class ChaosRun:
     """Own one chaos run."""
 
     def __init__(self, cluster: Cluster, seed: int, seconds: float) -> None:
@@ -47,7 +47,7 @@
         self._up = set(range(ENTRIES))
         self._tasks: set[asyncio.Task] = set()
         self._number = 0
-        self.evidence = Evidence()
+        self.observations = Observations()
         self.injected: Counter[str] = Counter()
 
     async def run(self) -> None:
@@ -93,7 +93,7 @@
         tries = ORDER_TRIES if kind == 'service' else 1
         for _ in range(tries):
             answer = await self._send(job)
-            if answer.whole or answer.ran == 'yes':
+            if answer.complete or answer.ran == 'yes':
                 return
             await asyncio.sleep(max(0.2, answer.retry_after_ms / 1000))
 
@@ -101,7 +101,7 @@
         number = self._load_chance.choice(sorted(self._up))
         entry = self._cluster.entries[number]
         answer = await send(job, self._target, entry.callers)
-        self.evidence.answers.append((entry.name, job, answer))
+        self.observations.answers.append((entry.name, job, answer))
         return answer
 
     async def _watch(self) -> None:
@@ -117,10 +117,12 @@
                     )
                 except Exception:
                     continue
-                self.evidence.versions.append(
+                self.observations.versions.append(
                     (entry.name, pid, status['version']),
                 )
-                self.evidence.memory.setdefault((entry.name, pid), []).append(
+                self.observations.memory.setdefault(
+                    (entry.name, pid), []
+                ).append(
                     usage(pid).rss_kb,
                 )
 
@@ -154,7 +156,7 @@
                 deck = self._chance.sample(faults, len(faults))
             fault = deck.pop()
             self.injected[fault.__name__.strip('_')] += 1
-            self.evidence.trace.append(
+            self.observations.fault_log.append(
                 (time.monotonic() - start_s, fault.__name__),
             )
             task = asyncio.ensure_future(fault())
@@ -180,7 +182,7 @@
         entry = self._take_entry()
         if entry is None:
             return
-        self.evidence.killed.append((entry.name, time.monotonic()))
+        self.observations.killed.append((entry.name, time.monotonic()))
         await asyncio.to_thread(self._cluster.kill, entry.process)
         await asyncio.sleep(self._chance.uniform(0.1, 4))
         await self._restart(entry)
@@ -207,12 +209,14 @@
         entry = self._take_entry()
         if entry is None:
             return
-        self.evidence.stopped.append((entry.name, time.monotonic()))
+        self.observations.stopped.append((entry.name, time.monotonic()))
         entry.process.send_signal(signal.SIGTERM)
         await asyncio.to_thread(entry.process.wait)
         if entry.process.returncode != 0:
             code = entry.process.returncode
-            self.evidence.bad_stops.append(f'{entry.name} ended with {code}')
+            self.observations.unclean_stops.append(
+                f'{entry.name} ended with {code}'
+            )
         await self._restart(entry)
 
     def _engine(self) -> str:
@@ -226,7 +230,7 @@
         await self._gather_engine(name)
         await asyncio.to_thread(self._cluster.kill, process)
         await asyncio.sleep(self._chance.uniform(0.5, 4))
-        self._cluster.start_engine(name)
+        self._cluster.restart_engine(name)
 
     async def _slow_engine(self) -> None:
         name = self._engine()
@@ -239,11 +243,11 @@
 
     async def _leave_engine(self) -> None:
         name = self._engine()
-        if self.evidence.is_leaving(name):
+        if self.observations.is_leaving(name):
             return
         start_s = time.time()
         window = [name, start_s, float('inf')]
-        self.evidence.leaving.append(window)
+        self.observations.leave_windows.append(window)
         await self._list(name, 'leaving')
         await asyncio.sleep(self._chance.uniform(6, 9))
         window[2] = time.time()
@@ -317,15 +321,19 @@
         except Exception:
             return
         if number:
-            self.evidence.edits.append((number, name, level))
+            self.observations.edits.append((number, name, level))
 
     def _propose(self, entry: Entry, name: str, level: int) -> int | None:
-        told = self._cluster.operate('GET', '/tree', b'', entry.operators)
+        told = self._cluster.call_operator_api(
+            'GET', '/tree', b'', entry.operators
+        )
         tree = told['tree']
         leaf = tree['workspaces'][name]['classes']['summary']
         leaf['max_wait_ms'] = level
         body = orjson.dumps({'base': told['version'], 'tree': tree})
-        answer = self._cluster.operate('PUT', '/tree', body, entry.operators)
+        answer = self._cluster.call_operator_api(
+            'PUT', '/tree', body, entry.operators
+        )
         return answer.get('version')
 
     async def _order(self, name: str, order: dict[str, Any]) -> None:
@@ -378,27 +386,27 @@
         for request_id, tries in log.items():
             for number, run in enumerate(tries):
                 key = (name, request_id, number, run['at'])
-                self.evidence.engine_runs[key] = run['at']
+                self.observations.engine_runs[key] = run['at']
 
     async def _gather(self) -> None:
         for name in self._cluster.plan.engines:
             await self._gather_engine(name)
         for name in self._cluster.plan.services:
             runs = await asyncio.to_thread(self._cluster.read, name, '/log')
-            self.evidence.service_runs.extend(run['body'] for run in runs)
+            self.observations.service_runs.extend(run['body'] for run in runs)
         entry = self._cluster.entries[min(self._up)]
         told = await asyncio.to_thread(
-            self._cluster.operate,
+            self._cluster.call_operator_api,
             'GET',
             '/tree',
             b'',
             entry.operators,
         )
-        self.evidence.final_tree = told['tree']
+        self.observations.final_tree = told['tree']
 
 
 @dataclass(slots=True)
-class Verdict:
+class ChaosResult:
     """Hold what a chaos run found."""
 
     seed: int
@@ -408,52 +416,54 @@
     memory: str = ''
 
 
-def chaos(seed: int, minutes: float, broken: str = '') -> Verdict:
+def chaos(
+    seed: int, minutes: float, disabled_safeguard: str = ''
+) -> ChaosResult:
     """Run and judge; write a trace where a promise was broken."""
     services = {f'app-{number}': {'work_ms': 150} for number in range(1, 4)}
     plan = deployment(
         DEPLOYMENT,
         ENTRIES,
         proxied=True,
-        broken=broken,
+        disabled_safeguard=disabled_safeguard,
         services=services,
     )
     with running(plan) as cluster:
-        run = Chaos(cluster, seed, minutes * 60)
+        run = ChaosRun(cluster, seed, minutes * 60)
         uvloop.run(run.run())
-    checks, violations = find_violations(run.evidence)
-    growth = memory_growth(run.evidence)
-    verdict = Verdict(seed, dict(run.injected), checks, violations, growth)
-    _write_trace(run.evidence, verdict)
-    return verdict
+    checks, violations = find_violations(run.observations)
+    growth = memory_growth(run.observations)
+    result = ChaosResult(seed, dict(run.injected), checks, violations, growth)
+    _write_trace(run.observations, result)
+    return result
 
 
-def show(verdict: Verdict) -> None:
+def show(result: ChaosResult) -> None:
     """Print faults, checks and violations."""
     write = sys.stdout.write
     faults = ', '.join(
-        f'{name} {count}' for name, count in sorted(verdict.injected.items())
+        f'{name} {count}' for name, count in sorted(result.injected.items())
     )
-    write(f'seed {verdict.seed}\nfaults: {faults}\n')
-    for name, count in verdict.checks.items():
+    write(f'seed {result.seed}\nfaults: {faults}\n')
+    for name, count in result.checks.items():
         write(f'checked {count:>7} {name}\n')
-    write(f'{verdict.memory}\n')
-    for violation in verdict.violations[:20]:
+    write(f'{result.memory}\n')
+    for violation in result.violations[:20]:
         write(f'VIOLATION {violation}\n')
-    write(f'violations: {len(verdict.violations)}\n')
+    write(f'violations: {len(result.violations)}\n')
 
 
-def _write_trace(evidence: Evidence, verdict: Verdict) -> None:
+def _write_trace(observations: Observations, result: ChaosResult) -> None:
     out = BUILD / 'bench'
     out.mkdir(parents=True, exist_ok=True)
     document = {
-        'seed': verdict.seed,
-        'violations': verdict.violations,
-        'faults': evidence.trace,
+        'seed': result.seed,
+        'violations': result.violations,
+        'faults': observations.fault_log,
         'answers': [
             {'entry': entry, **as_row(answer)}
-            for entry, _, answer in evidence.answers
+            for entry, _, answer in observations.answers
         ],
     }
-    path = Path(out / f'chaos-{verdict.seed}.json')
+    path = Path(out / f'chaos-{result.seed}.json')
     path.write_bytes(orjson.dumps(document))
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -64,7 +64,7 @@
     proxied: bool = False
     flags: tuple[str, ...] = ()
     source: str = ''
-    broken: str = ''
+    disabled_safeguard: str = ''
 
 
 @dataclass(slots=True)
@@ -118,7 +118,7 @@
         self._start_proxies()
         self.wait_http(self.platform, '/instances')
         self._list_backends(pools)
-        self.list_entries()
+        self.register_entries()
         for entry in self.entries:
             self.start_entry(entry)
         self.wait_http(self.entries[0].operators, '/healthz')
@@ -127,7 +127,7 @@
             self.wait_http(entry.callers, '/readyz')
         self.wait_members(len(self.entries))
 
-    def start_engine(self, name: str) -> None:
+    def restart_engine(self, name: str) -> None:
         """Start an engine anew at its address."""
         pools = _pools(self.plan.tree)['engine']
         chosen = {'name': name, **self.plan.engines[name]}
@@ -149,8 +149,8 @@
         if entry.announced_peers:
             flags['announced-peers'] = entry.announced_peers
         program = ['siskinpass']
-        if self.plan.broken:
-            program = ['bench.broken', self.plan.broken]
+        if self.plan.disabled_safeguard:
+            program = ['bench.broken', self.plan.disabled_safeguard]
         command = [sys.executable, '-m', *program, 'serve']
         for flag, text in flags.items():
             command.extend((f'--{flag}', text))
@@ -174,9 +174,9 @@
     def propose(self, tree: Any, base: int) -> dict[str, Any]:
         """Propose a tree; return what the instance answered."""
         body = orjson.dumps({'base': base, 'tree': tree, 'author': 'bench'})
-        return self.operate('PUT', '/tree', body)
+        return self.call_operator_api('PUT', '/tree', body)
 
-    def operate(
+    def call_operator_api(
         self,
         method: str,
         path: str,
@@ -195,7 +195,9 @@
 
     def status(self, entry: Entry) -> dict[str, Any]:
         """Return what an entry says that holds."""
-        return self.operate('GET', '/status', operators=entry.operators)
+        return self.call_operator_api(
+            'GET', '/status', operators=entry.operators
+        )
 
     def order(self, name: str, order: Mapping[str, Any], path: str) -> Any:
         """Give an order to a stand-in."""
@@ -224,7 +226,7 @@
         answer = self.http.request('GET', f'http://{address}{path}', timeout=10)
         return answer.json()
 
-    def list_entries(self) -> None:
+    def register_entries(self) -> None:
         """Put the entries on the platform's list."""
         self.order(
             'platform',
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -6,7 +6,7 @@
 import uvloop
 
 from bench.cluster import Cluster, deployment, running
-from bench.load import Answer, Job, Target, play
+from bench.load import Answer, Job, Target, send_jobs
 from bench.summary import print_table, summarise
 
 SECONDS = 10
@@ -67,7 +67,7 @@
                 ),
             )
             at_s += chance.expovariate(per_s)
-    return uvloop.run(play(number_jobs(jobs), target_of(cluster)))
+    return uvloop.run(send_jobs(number_jobs(jobs), discover_target(cluster)))
 
 
 def number_jobs(jobs: list[Job]) -> list[Job]:
@@ -88,7 +88,7 @@
     ]
 
 
-def target_of(cluster: Cluster, seed: int = 0) -> Target:
+def discover_target(cluster: Cluster, seed: int = 0) -> Target:
     """Return where callers of a cluster connect, as they are told."""
     addresses = []
     for entry in cluster.entries:
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -12,8 +12,8 @@
 
 from bench.bound import bound_attainment
 from bench.cluster import BUILD, Cluster, deployment, running
-from bench.demo import target_of
-from bench.load import Answer, as_row, dump_jobs, load_jobs, play
+from bench.demo import discover_target
+from bench.load import Answer, as_row, dump_jobs, load_jobs, send_jobs
 from bench.scenarios import Scenario, build
 from bench.summary import print_table, summarise
 
@@ -48,7 +48,7 @@
             name,
             jobs,
             scenario.events,
-            scenario.breaches,
+            scenario.expected_breaches,
         )
     plan = deployment(
         DEPLOYMENT,
@@ -89,10 +89,10 @@
     scenario: Scenario,
     seed: int,
 ) -> list[Answer]:
-    target = target_of(cluster, seed)
+    target = discover_target(cluster, seed)
     target.addresses = [entry.callers for entry in cluster.entries]
     faults = asyncio.ensure_future(_inject(cluster, scenario, target))
-    answers = await play(scenario.jobs, target)
+    answers = await send_jobs(scenario.jobs, target)
     await faults
     return answers
 
@@ -130,7 +130,7 @@
 ) -> dict[str, Any]:
     rows = summarise(answers, cluster.plan.tree)
     sent, doubled = _engine_work(cluster)
-    delivered = sum(answer.tokens for answer in answers if answer.whole)
+    delivered = sum(answer.tokens for answer in answers if answer.complete)
     alive = [entry for entry in cluster.entries if entry.process.poll() is None]
     status = cluster.status(alive[0])
     raised = Counter(
@@ -144,7 +144,7 @@
         'engine_tokens': sent,
         'doubled': doubled,
         'alarms': dict(raised),
-        'labelled': sorted(scenario.breaches),
+        'labelled': sorted(scenario.expected_breaches),
         'shed_upper_before_lower': _shed_faults(answers, rows),
         'bound': bound_attainment(scenario.jobs, cluster.plan),
         'done_per_10s': _done_per_10s(answers),
@@ -177,7 +177,7 @@
     start_s = min(answer.sent_s for answer in answers)
     done: dict[str, Counter[int]] = {}
     for answer in answers:
-        if answer.whole:
+        if answer.complete:
             window = int((answer.end_s - start_s) // 10)
             done.setdefault(answer.leaf, Counter())[window] += 1
     return {
--- a/bench/load.py
+++ b/bench/load.py
@@ -51,7 +51,7 @@
     address: str = ''
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Return whether the caller got its whole answer."""
         return self.status == 200 and not self.fault and not self.code
 
@@ -66,7 +66,7 @@
         self.headers: dict[str, str] = {}
         self.status = 0
         self.first_s = 0.0
-        self.whole = False
+        self.complete = False
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -80,7 +80,7 @@
         self.headers = {}
         self.status = 0
         self.first_s = 0.0
-        self.whole = False
+        self.complete = False
         self.transport.write(request)
         return self.done
 
@@ -102,7 +102,7 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
         if not self.parser.should_keep_alive():
             self.transport.close()
         self._end()
@@ -120,11 +120,11 @@
     keys: dict[str, str]
     model: str
     seed: int = 0
-    kept: dict[str, list[_Exchange]] = field(default_factory=dict)
+    idle_connections: dict[str, list[_Exchange]] = field(default_factory=dict)
     headers: dict[str, str] = field(default_factory=dict)
 
 
-async def play(jobs: Sequence[Job], target: Target) -> list[Answer]:
+async def send_jobs(jobs: Sequence[Job], target: Target) -> list[Answer]:
     """Send each job at its time and return all answers."""
     chance = random.Random(target.seed)
     start_s = time.monotonic()
@@ -153,15 +153,15 @@
     answer.end_s = time.monotonic()
     answer.first_s = exchange.first_s
     _check(job, exchange, answer)
-    if exchange.whole and not exchange.transport.is_closing():
-        target.kept.setdefault(address, []).append(exchange)
+    if exchange.complete and not exchange.transport.is_closing():
+        target.idle_connections.setdefault(address, []).append(exchange)
     return answer
 
 
 async def _connect(target: Target, address: str) -> _Exchange:
-    kept = target.kept.get(address, [])
-    while kept:
-        exchange = kept.pop()
+    idle_connections = target.idle_connections.get(address, [])
+    while idle_connections:
+        exchange = idle_connections.pop()
         if not exchange.transport.is_closing():
             return exchange
     host, port = address.rsplit(':', 1)
@@ -210,7 +210,7 @@
         tail = body.rsplit(b'event: error\ndata: ', 1)[1]
         answer.code = orjson.loads(tail)['error']['code']
         return
-    if not exchange.whole:
+    if not exchange.complete:
         answer.fault = 'cut'
     elif answer.code:
         return
@@ -262,4 +262,4 @@
 
 def as_row(answer: Answer) -> dict[str, Any]:
     """Return an answer as plain fields."""
-    return {**asdict(answer), 'whole': answer.whole}
+    return {**asdict(answer), 'whole': answer.complete}
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from bench.cluster import BUILD, Cluster, Plan, running
-from bench.load import Answer, Job, Target, play, send
+from bench.load import Answer, Job, Target, send, send_jobs
 from bench.summary import quantile
 
 SIZES = (1, 50, 200, 400)
@@ -107,14 +107,16 @@
     pid = entry.process.pid
     where = Target([entry.callers], cluster.keys, 'm1')
     app = next(iter(cluster.plan.services))
-    direct = replace(where, addresses=[cluster.addresses[app]], kept={})
+    direct = replace(
+        where, addresses=[cluster.addresses[app]], idle_connections={}
+    )
     await _probe(where, 20)
     idle = usage(pid)
     calls = await _probe(where, PROBES)
     quiet = usage(pid)
     jobs = [_stream(number, size) for number in range(size)]
     start_s = time.monotonic()
-    streams = asyncio.ensure_future(play(jobs, where))
+    streams = asyncio.ensure_future(send_jobs(jobs, where))
     await asyncio.sleep(1.5)
     middle = usage(pid)
     straight = await _probe(direct, PROBES, pause_s=0.004)
@@ -135,7 +137,7 @@
     straight, added, _ = probes
     idle, quiet, middle, end = used
     tokens = sum(answer.tokens for answer in answers)
-    if not all(answer.whole for answer in answers):
+    if not all(answer.complete for answer in answers):
         raise RuntimeError('a stream was not whole')
     per_call_s = (quiet.cpu_s - idle.cpu_s) / PROBES
     # The probes sent beside the streams are not the tokens' cost.
@@ -173,7 +175,7 @@
     for number in range(count):
         job = Job(0, 'one', 'probe', 'service', 0, '', number)
         answer: Answer = await send(job, where, where.addresses[0])
-        if not answer.whole:
+        if not answer.complete:
             raise RuntimeError(f'a probe failed: {answer}')
         times.append((answer.end_s - answer.sent_s) * 1000)
         await asyncio.sleep(pause_s)
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -42,7 +42,7 @@
     name: str
     jobs: Sequence[Job]
     events: Sequence[Event] = ()
-    breaches: frozenset[str] = frozenset()
+    expected_breaches: frozenset[str] = frozenset()
 
 
 class _Trace:
@@ -205,7 +205,7 @@
     return _finish(
         'long-rush',
         trace,
-        breaches=frozenset(('technician', 'quotation', 'report')),
+        expected_breaches=frozenset(('technician', 'quotation', 'report')),
     )
 
 
--- a/bench/summary.py
+++ b/bench/summary.py
@@ -14,7 +14,7 @@
 ROW = '{:<12}{:>5}{:>7}{:>7}{:>8}{:>10}{:>10}{:>10}  {}\n'
 
 
-def promises(tree: Path) -> dict[str, ClassSettings]:
+def load_class_settings(tree: Path) -> dict[str, ClassSettings]:
     """Return the promise of each class name of a tree."""
     parsed = parse_tree(tree.read_text())
     found = {}
@@ -26,7 +26,7 @@
 
 def met(answer: Answer, class_settings: ClassSettings) -> bool:
     """Tell whether an answer met the targets of its class."""
-    if not answer.whole:
+    if not answer.complete:
         return False
     first_ms = (answer.first_s - answer.sent_s) * 1000
     if answer.tokens > 1:
@@ -41,7 +41,7 @@
 
 def summarise(answers: Sequence[Answer], tree: Path) -> list[dict[str, Any]]:
     """Return one row per class, the most urgent first."""
-    known = promises(tree)
+    known = load_class_settings(tree)
     rows = []
     for leaf in sorted(known, key=lambda name: (known[name].tier, name)):
         own = [answer for answer in answers if answer.leaf == leaf]
@@ -58,20 +58,20 @@
     firsts = sorted(
         (answer.first_s - answer.sent_s) * 1000
         for answer in own
-        if answer.whole
+        if answer.complete
     )
     codes = Counter(answer.code for answer in own if answer.code)
     faults = Counter(answer.fault for answer in own if answer.fault)
-    whole = [answer for answer in own if answer.whole]
+    complete = [answer for answer in own if answer.complete]
     return {
         'class': leaf,
         'tier': class_settings.tier,
         'sent': len(own),
-        'whole': len(whole),
+        'whole': len(complete),
         'met': sum(met(answer, class_settings) for answer in own),
         'attainment': sum(met(answer, class_settings) for answer in own)
         / len(own),
-        'tokens': sum(answer.tokens for answer in whole),
+        'tokens': sum(answer.tokens for answer in complete),
         'first_ms_p50': quantile(firsts, 0.5),
         'first_ms_p95': quantile(firsts, 0.95),
         'first_ms_p99': quantile(firsts, 0.99),
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -8,7 +8,7 @@
 
 from bench.cluster import Cluster, Entry
 from bench.demo import number_jobs
-from bench.load import Answer, Job, Target, play
+from bench.load import Answer, Job, Target, send_jobs
 
 WAIT_S = 30.0
 POLL_S = 0.05
@@ -55,8 +55,8 @@
 def ask(jobs: list[Job], where: Target) -> list[Answer]:
     """Send jobs and return their answers."""
     # A kept connection belongs to the event loop that opened it.
-    where.kept.clear()
-    return asyncio.run(play(number_jobs(jobs), where))
+    where.idle_connections.clear()
+    return asyncio.run(send_jobs(number_jobs(jobs), where))
 
 
 def raw(address: str, wire: bytes, *, end: bool = False) -> bytes:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -7,7 +7,7 @@
 
 from bench.cluster import Plan, running
 from bench.demo import number_jobs
-from bench.load import Job, Target, play
+from bench.load import Job, Target, send_jobs
 
 STREAMS = 2000
 SENDERS = 500
@@ -56,9 +56,9 @@
         entry = alone.entries[0]
         where = Target([entry.callers], alone.keys, 'm1')
         answers, probe, during = asyncio.run(self._crowd(alone, where))
-        assert probe.whole
+        assert probe.complete
         assert during <= THREADS_MOST
-        broken = [answer for answer in answers if not answer.whole]
+        broken = [answer for answer in answers if not answer.complete]
         assert not broken[:3]
         assert len(answers) == STREAMS
 
@@ -67,13 +67,13 @@
             Job(number / 1000, 'one', 'stream', 'engine', 6, 'p')
             for number in range(STREAMS)
         ]
-        streams = asyncio.ensure_future(play(number_jobs(jobs), where))
+        streams = asyncio.ensure_future(send_jobs(number_jobs(jobs), where))
         while alone.read('engine-0', '/load').get('running', 0) < 100:
             await asyncio.sleep(0.2)
         stalled = [
             await stall(alone.entries[0].callers) for _ in range(SENDERS)
         ]
-        probe = await play([_probe()], where)
+        probe = await send_jobs([_probe()], where)
         during = threads(alone)
         answers = await streams
         for _, writer in stalled:
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -167,7 +167,7 @@
         answer = raw(entry.callers, make(cluster))
         assert b'X-Siskinpass-Code: %d\r\n' % code in answer
         assert b'X-Siskinpass-Ran: no\r\n' in answer
-        assert ask([counter()], target(cluster, entry))[0].whole
+        assert ask([counter()], target(cluster, entry))[0].complete
 
     def test_body_cut_short(self, cluster):
         """A body that ends early is told from a slow one."""
@@ -190,7 +190,7 @@
         """Streams, whole answers and service calls work everywhere."""
         jobs = [counter(at_s=number / 50) for number in range(12)]
         jobs += [counter(stream=False), order(), pattern()]
-        assert all(answer.whole for answer in ask(jobs, target(cluster)))
+        assert all(answer.complete for answer in ask(jobs, target(cluster)))
 
     @pytest.mark.parametrize('stream', [False, True])
     def test_stock_client(self, cluster, stream):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -103,7 +103,7 @@
             )
             before = set(healed.read('engine-1', '/log'))
             answers = ask([counter() for _ in range(20)], target(healed))
-            assert all(answer.whole for answer in answers)
+            assert all(answer.complete for answer in answers)
             assert set(healed.read('engine-1', '/log')) == before
         finally:
             live = {'name': 'engine-1', 'state': 'live'}
@@ -128,7 +128,7 @@
         again = target(healed, second)
         again.seed = 11
         one = ask([order()], where)[0]
-        assert one.whole
+        assert one.complete
         wait_until(
             lambda: ask([order()], again)[0].status == 200,
             'the stored answer',
@@ -157,7 +157,7 @@
         healed.order('platform', {'lose_confirmations': 0}, '/admin/store')
         runs = [body for body in service_runs(healed) if 's13n' in body]
         assert len(runs) == len(set(runs))
-        assert len(runs) == sum(answer.whole for answer in answers)
+        assert len(runs) == sum(answer.complete for answer in answers)
         not_run = {a.number for a in answers if a.ran == 'no'}
         assert not [n for n in not_run if f'"order":"s13n{n}"' in str(runs)]
 
@@ -187,7 +187,7 @@
 
     def test_two_operators_at_once(self, healed):
         """Disjoint edits both hold; edits of one node conflict."""
-        told = healed.operate('GET', '/tree')
+        told = healed.call_operator_api('GET', '/tree')
         base, tree = told['version'], told['tree']
         mine = _edited(tree, 'norte', 'summary', 'max_wait_ms', 50_001)
         theirs = _edited(tree, 'sur', 'summary', 'max_wait_ms', 50_002)
@@ -197,25 +197,28 @@
         error = healed.propose(clash, base)['error']
         assert error['code'] == Code.tree_conflict
         assert error['changed'][0]['new'] == 50_001
-        after = healed.operate('GET', '/tree')['tree']['workspaces']
+        after = healed.call_operator_api('GET', '/tree')['tree']['workspaces']
         assert after['norte']['classes']['summary']['max_wait_ms'] == 50_001
         assert after['sur']['classes']['summary']['max_wait_ms'] == 50_002
 
     def test_edit_with_lost_confirmation_is_accepted_once(self, healed):
         """An edit is found by its nonce, not made twice."""
-        told = healed.operate('GET', '/tree')
+        told = healed.call_operator_api('GET', '/tree')
         base, tree = told['version'], told['tree']
         mine = _edited(tree, 'plaza', 'summary', 'max_wait_ms', 51_000 + base)
         lose = {'lose_confirmations': 3}
         healed.order('platform', lose, '/admin/store')
         assert healed.propose(mine, base)['version'] == base + 1
         healed.order('platform', {'lose_confirmations': 0}, '/admin/store')
-        numbers = [edit['number'] for edit in healed.operate('GET', '/history')]
+        numbers = [
+            edit['number']
+            for edit in healed.call_operator_api('GET', '/history')
+        ]
         assert numbers == sorted(set(numbers))
 
     def test_edit_is_in_force_everywhere(self, healed):
         """Every instance comes to the accepted version."""
-        told = healed.operate('GET', '/tree')
+        told = healed.call_operator_api('GET', '/tree')
         base, tree = told['version'], told['tree']
         edited = _edited(tree, 'taller', 'summary', 'max_wait_ms', 52_000)
         number = healed.propose(edited, base)['version']
@@ -234,7 +237,7 @@
         fresh.wait_http(third.callers, '/readyz')
         assert fresh.status(third)['version'] == 1
         answers = ask([counter() for _ in range(4)], target(fresh, third))
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
 
     def test_instance_without_tree_is_not_ready(self, fresh):
         """With neither store nor peers an instance says so."""
@@ -288,9 +291,9 @@
         jobs = [counter(at_s=number / 20) for number in range(40)]
         answers = ask(jobs, target(fresh, *others))
         broker.process.send_signal(signal.SIGCONT)
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
         fresh.wait_members(3)
-        assert all(answer.whole for answer in ask(jobs, target(fresh)))
+        assert all(answer.complete for answer in ask(jobs, target(fresh)))
 
     def test_entry_is_cut_off_from_one_peer(self, healed):
         """One-way loss between two instances loses no request."""
@@ -306,7 +309,7 @@
         )
         jobs = [counter(at_s=number / 20) for number in range(40)]
         answers = ask(jobs, target(healed, other))
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
 
     def test_graceful_stop_cuts_nothing(self, fresh):
         """Open streams end whole; a new request is told it was not run."""
@@ -353,7 +356,7 @@
         fresh.start_entry(second)
         fresh.wait_http(second.callers, '/readyz')
         fresh.wait_members(3)
-        assert ask([counter()], target(fresh, second))[0].whole
+        assert ask([counter()], target(fresh, second))[0].complete
 
 
 def _told_names(cluster, entry):
@@ -378,8 +381,8 @@
         )
         answers = ask([counter() for _ in range(4)], target(healed, second))
         assert _waiting(healed) > 0, 'drafts still wait'
-        assert all(answer.whole for answer in answers)
-        assert all(answer.whole for answer in wait())
+        assert all(answer.complete for answer in answers)
+        assert all(answer.complete for answer in wait())
 
 
 def _waiting(cluster):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -51,7 +51,7 @@
 
     def test_engines_load_models_added_to_the_tree(self, fresh):
         """A model added to the tree is loaded by all engines and served."""
-        reply = fresh.operate('GET', '/tree')
+        reply = fresh.call_operator_api('GET', '/tree')
         tree = reply['tree']
         tree['pools']['lm']['models'] = ['fieltro-chat', 'fieltro-new']
         fresh.propose(tree, reply['version'])
@@ -64,7 +64,7 @@
         )
         where = target(fresh)
         where.model = 'fieltro-new'
-        assert ask([counter()], where)[0].whole
+        assert ask([counter()], where)[0].complete
 
     def test_paused_lease_holder_sends_no_stale_orders(self, fresh):
         """A lease holder that was paused past its lease sends no order.
@@ -86,7 +86,9 @@
             lambda: fresh.status(others[0]).get('holder') in names,
             'another holder',
         )
-        reply = fresh.operate('GET', '/tree', b'', others[0].operators)
+        reply = fresh.call_operator_api(
+            'GET', '/tree', b'', others[0].operators
+        )
         tree = reply['tree']
         tree['pools']['lm']['models'] = ['fieltro-chat', 'fieltro-new']
         holder.process.send_signal(signal.SIGCONT)
