--- a/bench/bound.py
+++ b/bench/bound.py
@@ -22,27 +22,31 @@
 
 def bound_attainment(jobs: Sequence[Job], plan: Plan) -> dict[str, float]:
     """Return the attainment that cannot be passed, by class."""
-    known = load_class_settings(plan.tree)
+    settings_by_class = load_class_settings(plan.tree)
     token_s = (STEP_MS + SEQUENCE_MS * SLOTS) / 1000
     slots = SLOTS * len(plan.engines)
     met: dict[str, list[bool]] = defaultdict(list)
     by_tier: dict[int, list[Job]] = defaultdict(list)
     for job in jobs:
         if job.kind == 'engine':
-            by_tier[known[job.leaf].tier].append(job)
-    ahead: list[Job] = []
+            by_tier[settings_by_class[job.leaf].tier].append(job)
+    considered: list[Job] = []
     for tier in sorted(by_tier):
         # With free preemption a tier sees only itself and those above.
-        ahead = sorted((*ahead, *by_tier[tier]), key=lambda job: job.at_s)
-        free = [0.0] * slots
-        for job in ahead:
-            class_settings = known[job.leaf]
-            start_s = max(job.at_s, free[0])
+        considered = sorted(
+            (*considered, *by_tier[tier]), key=lambda job: job.at_s
+        )
+        free_at_s = [0.0] * slots
+        for job in considered:
+            class_settings = settings_by_class[job.leaf]
+            start_s = max(job.at_s, free_at_s[0])
             first_ms = (start_s - job.at_s) * 1000 + STEP_MS
-            timely = first_ms <= class_settings.first_token_ms
-            if timely:
+            on_time = first_ms <= class_settings.first_token_ms
+            if on_time:
                 end_s = start_s + job.tokens * token_s
-                heapq.heapreplace(free, end_s)
+                heapq.heapreplace(free_at_s, end_s)
             if class_settings.tier == tier:
-                met[job.leaf].append(timely)
-    return {leaf: sum(oks) / len(oks) for leaf, oks in met.items()}
+                met[job.leaf].append(on_time)
+    return {
+        leaf: sum(outcomes) / len(outcomes) for leaf, outcomes in met.items()
+    }
--- a/bench/broken.py
+++ b/bench/broken.py
@@ -21,12 +21,12 @@
 
 def break_crossed() -> None:
     """Pass on events whatever request they are for."""
-    start = TokenStreamParser.__init__
+    original_init = TokenStreamParser.__init__
 
-    def forget_marker(self, marker: bytes) -> None:
-        start(self, b'"id":"')
+    def init_with_weak_marker(self, marker: bytes) -> None:
+        original_init(self, b'"id":"')
 
-    TokenStreamParser.__init__ = forget_marker
+    TokenStreamParser.__init__ = init_with_weak_marker
 
 
 def break_once() -> None:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -52,38 +52,46 @@
 from siskinpass.version.keys import make_key
 
 RUNS = 5
-OUT = Path('docs/capacity.json')
-STREAMS = (50, 200, 400)
-WAITING = (10, 100, 1000)
-SERVERS = (6, 600, 3700)
-TIERS = (1, 3, 7)
-MEMBERS = (8, 32, 128, 450)
-WORKSPACES = (10, 400, 1600)
-TICKETS = 2000
+FIGURES_FILE = Path('docs/capacity.json')
+STREAM_COUNTS = (50, 200, 400)
+WAITING_COUNTS = (10, 100, 1000)
+SERVER_COUNTS = (6, 600, 3700)
+TIER_COUNTS = (1, 3, 7)
+MEMBER_COUNTS = (8, 32, 128, 450)
+WORKSPACE_COUNTS = (10, 400, 1600)
+TICKETS_PER_RUN = 2000
 PEER_KEY = 'capacity-peer-key'
-GROUP = 8
+GROUP_SIZE = 8
 
 
 def measure() -> dict[str, Any]:
     """Run every measurement and write the page's figures."""
     figures = {
-        'relay': _relay(),
-        'broker_waiting': _table(WAITING, lambda size: _broker(size, 8, 3)),
-        'broker_servers': _table(SERVERS, lambda size: _broker(100, size, 3)),
-        'broker_tiers': _table(TIERS, lambda size: _broker(100, 8, size)),
-        'members': _members(),
-        'tree': _tree(),
-        'session': _session(),
-        'messages': _messages(),
-        'counts': _counts(),
+        'relay': _measure_relay(),
+        'broker_waiting': _measure_sizes(
+            WAITING_COUNTS, lambda size: _measure_broker(size, 8, 3)
+        ),
+        'broker_servers': _measure_sizes(
+            SERVER_COUNTS, lambda size: _measure_broker(100, size, 3)
+        ),
+        'broker_tiers': _measure_sizes(
+            TIER_COUNTS, lambda size: _measure_broker(100, 8, size)
+        ),
+        'members': _measure_members(),
+        'tree': _measure_tree(),
+        'session': _measure_session(),
+        'messages': _message_sizes(),
+        'counts': _measure_counts(),
         'claims': {'writes_per_call': 2, 'reads_per_call': 0},
-        'process': _process(),
+        'process': _measure_process(),
     }
-    OUT.write_bytes(orjson.dumps(figures, option=orjson.OPT_INDENT_2) + b'\n')
+    FIGURES_FILE.write_bytes(
+        orjson.dumps(figures, option=orjson.OPT_INDENT_2) + b'\n'
+    )
     return figures
 
 
-def _spread(samples: Sequence[float]) -> dict[str, float]:
+def _summary(samples: Sequence[float]) -> dict[str, float]:
     return {
         'least': round(min(samples), 3),
         'median': round(statistics.median(samples), 3),
@@ -91,27 +99,30 @@
     }
 
 
-def _table(
+def _measure_sizes(
     sizes: Sequence[int],
     samples: Callable[[int], list[float]],
 ) -> dict[str, dict[str, float]]:
-    return {str(size): _spread(samples(size)) for size in sizes}
+    return {str(size): _summary(samples(size)) for size in sizes}
 
 
-def _relay() -> dict[str, Any]:
-    runs = [overhead.measure(STREAMS) for _ in range(RUNS)]
-    wanted = ('cpu_us_per_token', 'cpu_ms_per_call', 'kb_per_stream')
+def _measure_relay() -> dict[str, Any]:
+    runs = [overhead.measure(STREAM_COUNTS) for _ in range(RUNS)]
+    figure_names = ('cpu_us_per_token', 'cpu_ms_per_call', 'kb_per_stream')
     return {
         str(size): {
-            name: _spread([run[place][name] for run in runs]) for name in wanted
+            name: _summary([run[index][name] for run in runs])
+            for name in figure_names
         }
-        for place, size in enumerate(STREAMS)
+        for index, size in enumerate(STREAM_COUNTS)
     }
 
 
-def _broker(waiting: int, servers: int, tiers: int) -> list[float]:
+def _measure_broker(waiting: int, servers: int, tiers: int) -> list[float]:
     """Return the processor time of one ticket in a broker, in us."""
-    limit = LimitPolicy(start=1 if servers > GROUP else 8, minimum=1, maximum=8)
+    limit = LimitPolicy(
+        start=1 if servers > GROUP_SIZE else 8, minimum=1, maximum=8
+    )
     broker = Broker(BrokerPolicy(limit, max_queued=10**6))
     views = tuple(
         ServerView(f's{number}', f'127.0.0.1:{number}', 'lm')
@@ -120,20 +131,22 @@
     broker.apply(ServersListed(views), 0.0)
     slots = broker.table.slots
     opened = [
-        _opened(f'w{number}', number % tiers)
+        _open_event(f'w{number}', number % tiers)
         for number in range(slots + waiting)
     ]
-    held = _granted(broker.apply_all(opened, 0.0))
-    tickets = TICKETS if servers <= GROUP else TICKETS // 20
+    granted_ids = _granted_ids(broker.apply_all(opened, 0.0))
+    tickets = (
+        TICKETS_PER_RUN if servers <= GROUP_SIZE else TICKETS_PER_RUN // 20
+    )
     return [
-        _broker_pass(broker, held, f'p{turn}', (tickets, tiers))
-        for turn in range(RUNS)
+        _run_tickets(broker, granted_ids, f'p{run_number}', (tickets, tiers))
+        for run_number in range(RUNS)
     ]
 
 
-def _broker_pass(
+def _run_tickets(
     broker: Broker,
-    held: list[str],
+    granted_ids: list[str],
     prefix: str,
     size: tuple[int, int],
 ) -> float:
@@ -142,14 +155,14 @@
     start_s = time.process_time()
     for number in range(tickets):
         now_s = number / 1000
-        opened = _opened(f'{prefix}-{number}', number % tiers, now_s)
+        opened = _open_event(f'{prefix}-{number}', number % tiers, now_s)
         commands = broker.apply(opened, now_s)
-        commands += broker.apply(GrantReleased(held.pop(0)), now_s)
-        held.extend(_granted(commands))
+        commands += broker.apply(GrantReleased(granted_ids.pop(0)), now_s)
+        granted_ids.extend(_granted_ids(commands))
     return (time.process_time() - start_s) / tickets * 1_000_000
 
 
-def _granted(commands: Sequence[Command]) -> list[str]:
+def _granted_ids(commands: Sequence[Command]) -> list[str]:
     return [
         command.ticket_id
         for command in commands
@@ -157,7 +170,7 @@
     ]
 
 
-def _opened(name: str, tier: int, now_s: float = 0.0) -> TicketOpened:
+def _open_event(name: str, tier: int, now_s: float = 0.0) -> TicketOpened:
     ticket = Ticket(
         name,
         'entry-1',
@@ -173,13 +186,13 @@
     return TicketOpened(ticket)
 
 
-def _members() -> dict[str, dict[str, Any]]:
+def _measure_members() -> dict[str, dict[str, Any]]:
     """Return what heartbeats cost one member, by number of members."""
-    return {str(count): _member_costs(count) for count in MEMBERS}
+    return {str(count): _member_costs(count) for count in MEMBER_COUNTS}
 
 
 def _member_costs(count: int) -> dict[str, Any]:
-    members = _meet(count)
+    members = _converged_members(count)
     seconds = 4.0
     costs = []
     now_s = 100.0
@@ -190,27 +203,27 @@
         for _ in range(int(seconds / 0.05)):
             now_s += 0.05
             for member in members.values():
-                told = _deliver(members, member, TimePassed(), now_s)
-                sent += told[0]
-                packets += told[1]
+                traffic = _deliver_event(members, member, TimePassed(), now_s)
+                sent += traffic[0]
+                packets += traffic[1]
         used_s = time.process_time() - start_s
         costs.append(used_s / count / seconds * 1000)
     return {
-        'cpu_ms_per_s': _spread(costs),
+        'cpu_ms_per_s': _summary(costs),
         'bytes_per_s': round(sent / count / seconds),
         'packets_per_s': round(packets / count / seconds, 1),
-        'kb_per_member': round(_member_kb(), 2),
+        'kb_per_member': round(_kb_per_member(), 2),
     }
 
 
-def _meet(count: int) -> dict[str, Membership]:
-    chance = random.Random(1)
+def _converged_members(count: int) -> dict[str, Membership]:
+    rng = random.Random(1)
     seeds = tuple(_member(number) for number in range(count))
     members = {
         seed.peer_address: Membership(
             seed,
             MembershipPolicy(),
-            random.Random(chance.random()),
+            random.Random(rng.random()),
         )
         for seed in seeds
     }
@@ -218,7 +231,7 @@
         member.apply(SeedsListed(seeds), 0.0)
     for step in range(160):
         for member in members.values():
-            _deliver(members, member, TimePassed(), step * 0.05)
+            _deliver_event(members, member, TimePassed(), step * 0.05)
     return members
 
 
@@ -232,7 +245,7 @@
     )
 
 
-def _deliver(
+def _deliver_event(
     members: dict[str, Membership],
     sender: Membership,
     event: Any,
@@ -243,8 +256,8 @@
     packets = 0
     waiting = [(sender, event)]
     while waiting:
-        member, arrived = waiting.pop()
-        for command in member.apply(arrived, now_s):
+        member, pending_event = waiting.pop()
+        for command in member.apply(pending_event, now_s):
             wire = encode_packet(command.packet)
             sent += len(wire) + 16 + 28
             packets += 1
@@ -253,10 +266,10 @@
     return sent, packets
 
 
-def _member_kb() -> float:
+def _kb_per_member() -> float:
     before = _rss_kb()
-    kept = [_member(number) for number in range(50_000)]
-    return (_rss_kb() - before) / len(kept)
+    retained = [_member(number) for number in range(50_000)]
+    return (_rss_kb() - before) / len(retained)
 
 
 def _rss_kb() -> int:
@@ -264,25 +277,25 @@
     return int(text.split('VmRSS:')[1].split()[0])
 
 
-def _tree() -> dict[str, dict[str, Any]]:
-    return {str(count): _tree_costs(count) for count in WORKSPACES}
+def _measure_tree() -> dict[str, dict[str, Any]]:
+    return {str(count): _tree_costs(count) for count in WORKSPACE_COUNTS}
 
 
 def _tree_costs(count: int) -> dict[str, Any]:
     text = _tree_text(count)
     gc.collect()
     before = _rss_kb()
-    kept = [parse_tree(text)]
+    retained = [parse_tree(text)]
     memory_kb = _rss_kb() - before
     times = []
     for _ in range(RUNS):
         start_s = time.process_time()
-        kept[0] = parse_tree(text)
+        retained[0] = parse_tree(text)
         times.append((time.process_time() - start_s) * 1000)
-    mapping = tree_mapping(kept[0])
+    mapping = tree_mapping(retained[0])
     branch = next(iter(mapping['workspaces'].values()))
     return {
-        'parse_ms': _spread(times),
+        'parse_ms': _summary(times),
         'text_kb': round(len(text) / 1024),
         'memory_kb': max(0, memory_kb),
         'branch_bytes': len(orjson.dumps(branch)),
@@ -304,17 +317,17 @@
     return dump_tree(parse_tree(orjson.dumps(mapping).decode()))
 
 
-def _session() -> dict[str, Any]:
+def _measure_session() -> dict[str, Any]:
     """Return what one ticket costs over a broker session, both ends."""
     figures = [asyncio.run(_session_run()) for _ in range(RUNS)]
     return {
-        'ticket_cpu_us': _spread([one[0] for one in figures]),
-        'idle_cpu_ms_per_s': _spread([one[1] for one in figures]),
+        'ticket_cpu_us': _summary([sample[0] for sample in figures]),
+        'idle_cpu_ms_per_s': _summary([sample[1] for sample in figures]),
         'ticket_bytes': figures[0][2],
     }
 
 
-class _State:
+class _StubState:
     """Answer nothing to peers."""
 
     def tree_newer_than(self, number: int) -> tuple[int, str]:
@@ -322,26 +335,26 @@
         return number, ''
 
 
-class _Counter:
+class _TicketLoop:
     """Count the grants of one desk and release each at once."""
 
     def __init__(self, broker_client: BrokerClient, total: int) -> None:
         self.broker_client = broker_client
-        self.left = total
+        self.remaining = total
         self.done = asyncio.get_running_loop().create_future()
 
     def ask(self, number: int) -> None:
         """Open a ticket."""
         self.name = f'entry-1-1796000000000-{number}.0'
-        opened = _opened(self.name, 0)
+        opened = _open_event(self.name, 0)
         self.broker_client.ask(opened.ticket, self)
 
     def granted(self, server: str) -> None:
         """Release and ask again."""
         self.broker_client.release(self.name, failed=False)
-        self.left -= 1
-        if self.left:
-            self.ask(self.left)
+        self.remaining -= 1
+        if self.remaining:
+            self.ask(self.remaining)
         elif not self.done.done():
             self.done.set_result(None)
 
@@ -350,19 +363,20 @@
     loop = asyncio.get_running_loop()
     host = BrokerHost(loop, lambda group: BrokerPolicy())
     views = tuple(
-        ServerView(f's{number}', f'x:{number}', 'lm') for number in range(GROUP)
+        ServerView(f's{number}', f'x:{number}', 'lm')
+        for number in range(GROUP_SIZE)
     )
     host.list_servers({'lm': views})
     security = PeerSecurity(PEER_KEY)
     address = free_address()
-    service = PeerService(host, _State(), PEER_KEY)
+    service = PeerService(host, _StubState(), PEER_KEY)
     server = await start_peer_server(service, address, security)
     links = PeerLinks('entry-1', '127.0.0.1', security)
     links.take_addresses({'broker': address})
     broker_client = BrokerClient('lm', lambda unused: None)
     port = links.dial('broker', broker_client, lambda unused: None)
     broker_client.attach(port, 'broker')
-    counter = _Counter(broker_client, 500)
+    counter = _TicketLoop(broker_client, 500)
     start_s = time.process_time()
     counter.ask(0)
     await counter.done
@@ -378,7 +392,7 @@
 
 def _ticket_bytes() -> int:
     """Return the bytes of a ticket's three messages with their frames."""
-    opened = _opened('entry-1-1796000000000-1234567.0', 3)
+    opened = _open_event('entry-1-1796000000000-1234567.0', 3)
     released = GrantReleased(opened.ticket.ticket_id)
     granted = Granted(opened.ticket.ticket_id, 'entry-1', 'engine-12')
     messages = (
@@ -391,8 +405,8 @@
     return sum(messages) + frames
 
 
-def _messages() -> dict[str, int]:
-    opened = _opened('entry-1-1796000000000-1234567.0', 3)
+def _message_sizes() -> dict[str, int]:
+    opened = _open_event('entry-1-1796000000000-1234567.0', 3)
     granted = Granted(opened.ticket.ticket_id, 'entry-1', 'engine-12')
     return {
         'open': encode_event(opened, 0.0).ByteSize(),
@@ -404,24 +418,24 @@
     }
 
 
-def _counts() -> dict[str, Any]:
+def _measure_counts() -> dict[str, Any]:
     """Return what the counts of one class and second cost."""
     book = CountBook()
     for number in range(200):
         outcome = Outcome(f'workspace-{number}/counter', met=True, first_ms=90)
         book.note(outcome, 1.0)
     encoded = encode_after(book, 0, 1)
-    size = sum(one.ByteSize() for one in encoded) / len(encoded)
+    size = sum(sample.ByteSize() for sample in encoded) / len(encoded)
     times = []
     for _ in range(RUNS):
         start_s = time.process_time()
         for _ in range(20):
             encode_after(book, 0, 1)
         times.append((time.process_time() - start_s) / 4000 * 1_000_000)
-    return {'bytes': round(size), 'encode_us': _spread(times)}
+    return {'bytes': round(size), 'encode_us': _summary(times)}
 
 
-def _process() -> dict[str, Any]:
+def _measure_process() -> dict[str, Any]:
     """Return what an idle entry uses, with two peers."""
     with overhead.running(overhead.plan()) as cluster:
         time.sleep(2)
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -21,16 +21,16 @@
 
 ENTRIES = 8
 DEPLOYMENT = 'fieltro-lanera'
-RATES = (
+REQUEST_RATES = (
     ('counter', 'engine', 12.0, 15),
     ('order', 'service', 16.0, 0),
     ('stock', 'service', 4.0, 0),
     ('summary', 'engine', 2.0, 60),
     ('pattern', 'engine', 3.0, 400),
 )
-SAMPLE_S = 0.5
-ORDER_TRIES = 3
-QUIET_S = 1.5
+SAMPLE_INTERVAL_S = 0.5
+ORDER_ATTEMPTS = 3
+FAULT_FREE_END_S = 1.5
 
 
 class ChaosRun:
@@ -39,12 +39,12 @@
     def __init__(self, cluster: Cluster, seed: int, seconds: float) -> None:
         """Start with everything healthy."""
         self._cluster = cluster
-        self._chance = random.Random(seed)
-        self._load_chance = random.Random(seed + 1)
+        self._rng = random.Random(seed)
+        self._load_rng = random.Random(seed + 1)
         self._seconds = seconds
         self._model = 'fieltro-chat'
         self._target = Target([], cluster.keys, self._model, seed)
-        self._up = set(range(ENTRIES))
+        self._available = set(range(ENTRIES))
         self._tasks: set[asyncio.Task] = set()
         self._number = 0
         self.observations = Observations()
@@ -53,61 +53,63 @@
     async def run(self) -> None:
         """Load, break and watch for the whole time."""
         start_s = time.monotonic()
-        watching = asyncio.ensure_future(self._watch())
-        breaking = asyncio.ensure_future(self._break(start_s))
+        sampling = asyncio.ensure_future(self._sample_entries())
+        injecting = asyncio.ensure_future(self._inject_faults(start_s))
         await self._load(start_s)
-        await breaking
-        await self._heal()
+        await injecting
+        await self._clear_faults()
         while self._tasks:
             await asyncio.wait(self._tasks)
-        watching.cancel()
-        await self._gather()
+        sampling.cancel()
+        await self._collect_logs()
 
     async def _load(self, start_s: float) -> None:
-        total = sum(rate for _, _, rate, _ in RATES)
+        total = sum(rate for _, _, rate, _ in REQUEST_RATES)
         while time.monotonic() - start_s < self._seconds:
-            await asyncio.sleep(self._load_chance.expovariate(total))
-            chosen = self._load_chance.choices(
-                RATES,
-                [rate for _, _, rate, _ in RATES],
+            await asyncio.sleep(self._load_rng.expovariate(total))
+            class_load = self._load_rng.choices(
+                REQUEST_RATES,
+                [rate for _, _, rate, _ in REQUEST_RATES],
             )[0]
-            self._keep(self._one(chosen))
+            self._start_task(self._submit_job(class_load))
 
-    def _keep(self, work: Awaitable[None]) -> None:
+    def _start_task(self, work: Awaitable[None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _one(self, chosen: tuple[str, str, float, int]) -> None:
-        leaf, kind, _, tokens = chosen
+    async def _submit_job(
+        self, class_load: tuple[str, str, float, int]
+    ) -> None:
+        leaf, kind, _, tokens = class_load
         self._number += 1
         job = Job(
             0,
-            self._load_chance.choice(sorted(self._target.keys)),
+            self._load_rng.choice(sorted(self._target.keys)),
             leaf,
             kind,
-            max(1, int(tokens * self._load_chance.uniform(0.5, 1.5))),
+            max(1, int(tokens * self._load_rng.uniform(0.5, 1.5))),
             'sizes and colours ' * 4,
             self._number,
         )
-        tries = ORDER_TRIES if kind == 'service' else 1
-        for _ in range(tries):
+        attempts = ORDER_ATTEMPTS if kind == 'service' else 1
+        for _ in range(attempts):
             answer = await self._send(job)
             if answer.complete or answer.ran == 'yes':
                 return
             await asyncio.sleep(max(0.2, answer.retry_after_ms / 1000))
 
     async def _send(self, job: Job) -> Answer:
-        number = self._load_chance.choice(sorted(self._up))
+        number = self._load_rng.choice(sorted(self._available))
         entry = self._cluster.entries[number]
         answer = await send(job, self._target, entry.callers)
         self.observations.answers.append((entry.name, job, answer))
         return answer
 
-    async def _watch(self) -> None:
+    async def _sample_entries(self) -> None:
         while True:
-            await asyncio.sleep(SAMPLE_S)
-            for number in sorted(self._up):
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            for number in sorted(self._available):
                 entry = self._cluster.entries[number]
                 pid = entry.process.pid
                 try:
@@ -126,7 +128,7 @@
                     usage(pid).rss_kb,
                 )
 
-    async def _break(self, start_s: float) -> None:
+    async def _inject_faults(self, start_s: float) -> None:
         faults: list[Callable[[], Awaitable[None]]] = [
             self._kill_entry,
             self._pause_entry,
@@ -148,13 +150,13 @@
             self._edit_tree,
             self._edit_tree,
         ]
-        deck: list[Callable[[], Awaitable[None]]] = []
+        pending: list[Callable[[], Awaitable[None]]] = []
         running_faults: set[asyncio.Task] = set()
-        while time.monotonic() - start_s < self._seconds - QUIET_S:
-            if not deck:
+        while time.monotonic() - start_s < self._seconds - FAULT_FREE_END_S:
+            if not pending:
                 # Each kind comes once before any comes again.
-                deck = self._chance.sample(faults, len(faults))
-            fault = deck.pop()
+                pending = self._rng.sample(faults, len(faults))
+            fault = pending.pop()
             self.injected[fault.__name__.strip('_')] += 1
             self.observations.fault_log.append(
                 (time.monotonic() - start_s, fault.__name__),
@@ -163,28 +165,28 @@
             running_faults.add(task)
             task.add_done_callback(running_faults.discard)
             # Now and then two faults come together.
-            await asyncio.sleep(self._chance.choice((0.0, 0.7, 1.5, 3.0)))
+            await asyncio.sleep(self._rng.choice((0.0, 0.7, 1.5, 3.0)))
         if running_faults:
             await asyncio.wait(running_faults)
 
-    def _take_entry(self) -> Entry | None:
+    def _withdraw_entry(self) -> Entry | None:
         """Take an entry out of use, but never the last few."""
-        if len(self._up) <= ENTRIES // 2:
+        if len(self._available) <= ENTRIES // 2:
             return None
-        number = self._chance.choice(sorted(self._up))
-        self._up.discard(number)
+        number = self._rng.choice(sorted(self._available))
+        self._available.discard(number)
         return self._cluster.entries[number]
 
-    def _give_entry(self, entry: Entry) -> None:
-        self._up.add(self._cluster.entries.index(entry))
+    def _return_entry(self, entry: Entry) -> None:
+        self._available.add(self._cluster.entries.index(entry))
 
     async def _kill_entry(self) -> None:
-        entry = self._take_entry()
+        entry = self._withdraw_entry()
         if entry is None:
             return
         self.observations.killed.append((entry.name, time.monotonic()))
         await asyncio.to_thread(self._cluster.kill, entry.process)
-        await asyncio.sleep(self._chance.uniform(0.1, 4))
+        await asyncio.sleep(self._rng.uniform(0.1, 4))
         await self._restart(entry)
 
     async def _restart(self, entry: Entry) -> None:
@@ -194,19 +196,19 @@
             entry.callers,
             '/readyz',
         )
-        self._give_entry(entry)
+        self._return_entry(entry)
 
     async def _pause_entry(self) -> None:
-        entry = self._take_entry()
+        entry = self._withdraw_entry()
         if entry is None:
             return
         entry.process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(self._chance.uniform(0.5, 6))
+        await asyncio.sleep(self._rng.uniform(0.5, 6))
         entry.process.send_signal(signal.SIGCONT)
-        self._give_entry(entry)
+        self._return_entry(entry)
 
     async def _stop_entry(self) -> None:
-        entry = self._take_entry()
+        entry = self._withdraw_entry()
         if entry is None:
             return
         self.observations.stopped.append((entry.name, time.monotonic()))
@@ -219,52 +221,54 @@
             )
         await self._restart(entry)
 
-    def _engine(self) -> str:
-        return self._chance.choice(sorted(self._cluster.plan.engines))
+    def _random_engine(self) -> str:
+        return self._rng.choice(sorted(self._cluster.plan.engines))
 
     async def _crash_engine(self) -> None:
-        name = self._engine()
+        name = self._random_engine()
         process = self._cluster.processes[name]
         if process.poll() is not None:
             return
-        await self._gather_engine(name)
+        await self._collect_engine_log(name)
         await asyncio.to_thread(self._cluster.kill, process)
-        await asyncio.sleep(self._chance.uniform(0.5, 4))
+        await asyncio.sleep(self._rng.uniform(0.5, 4))
         self._cluster.restart_engine(name)
 
     async def _slow_engine(self) -> None:
-        name = self._engine()
-        await self._order(name, {'slow': self._chance.choice((2, 5))})
-        await asyncio.sleep(self._chance.uniform(1, 5))
-        await self._order(name, {'slow': 1})
+        name = self._random_engine()
+        await self._configure_engine(name, {'slow': self._rng.choice((2, 5))})
+        await asyncio.sleep(self._rng.uniform(1, 5))
+        await self._configure_engine(name, {'slow': 1})
 
     async def _cross_engine(self) -> None:
-        await self._order(self._engine(), {'cross': 2})
+        await self._configure_engine(self._random_engine(), {'cross': 2})
 
     async def _leave_engine(self) -> None:
-        name = self._engine()
+        name = self._random_engine()
         if self.observations.is_leaving(name):
             return
         start_s = time.time()
         window = [name, start_s, float('inf')]
         self.observations.leave_windows.append(window)
-        await self._list(name, 'leaving')
-        await asyncio.sleep(self._chance.uniform(6, 9))
+        await self._set_instance_state(name, 'leaving')
+        await asyncio.sleep(self._rng.uniform(6, 9))
         window[2] = time.time()
-        await self._gather_engine(name)
-        await self._list(name, 'live')
+        await self._collect_engine_log(name)
+        await self._set_instance_state(name, 'live')
 
     async def _cut_connections(self) -> None:
-        await self._fault(kind='cut', name=self._proxied())
+        await self._configure_proxies(kind='cut', name=self._random_proxied())
 
     async def _cut_services(self) -> None:
         for name in self._cluster.plan.services:
-            await self._fault(kind='cut', name=name)
+            await self._configure_proxies(kind='cut', name=name)
 
     async def _silence_connections(self) -> None:
-        await self._fault(kind='silence', name=self._proxied())
+        await self._configure_proxies(
+            kind='silence', name=self._random_proxied()
+        )
 
-    def _proxied(self) -> str:
+    def _random_proxied(self) -> str:
         names = [
             *self._cluster.plan.engines,
             *self._cluster.plan.services,
@@ -272,71 +276,74 @@
             *(entry.name for entry in self._cluster.entries),
             'platform',
         ]
-        return self._chance.choice(names)
+        return self._rng.choice(names)
 
     async def _lose_one_way(self) -> None:
-        one, other = self._chance.sample(self._cluster.entries, 2)
+        one, other = self._rng.sample(self._cluster.entries, 2)
         source = one.peers.rsplit(':', 1)[0]
         fault = {'name': other.name, 'kind': 'set', 'source': source}
-        await self._fault(**fault, drop_out=True)
-        await asyncio.sleep(self._chance.uniform(1, 5))
-        await self._fault(**fault, drop_out=False)
+        await self._configure_proxies(**fault, drop_out=True)
+        await asyncio.sleep(self._rng.uniform(1, 5))
+        await self._configure_proxies(**fault, drop_out=False)
 
     async def _store_down(self) -> None:
-        await self._store({'down': True})
-        await asyncio.sleep(self._chance.uniform(1, 8))
-        await self._store({'down': False})
+        await self._configure_store({'down': True})
+        await asyncio.sleep(self._rng.uniform(1, 8))
+        await self._configure_store({'down': False})
 
     async def _store_slow(self) -> None:
-        await self._store({'slow_s': 0.4})
-        await asyncio.sleep(self._chance.uniform(1, 5))
-        await self._store({'slow_s': 0})
+        await self._configure_store({'slow_s': 0.4})
+        await asyncio.sleep(self._rng.uniform(1, 5))
+        await self._configure_store({'slow_s': 0})
 
     async def _lose_confirmations(self) -> None:
-        await self._store({'lose_confirmations': 3})
+        await self._configure_store({'lose_confirmations': 3})
 
     async def _stale_reads(self) -> None:
-        await self._store({'stale_reads': 10**6, 'stale_key': 'tree/head'})
-        await asyncio.sleep(self._chance.uniform(2, 4))
-        await self._store({'stale_reads': 0})
+        await self._configure_store({
+            'stale_reads': 10**6,
+            'stale_key': 'tree/head',
+        })
+        await asyncio.sleep(self._rng.uniform(2, 4))
+        await self._configure_store({'stale_reads': 0})
 
     async def _edit_tree(self) -> None:
         """Let two operators edit at once, at two instances."""
         entries = [
             self._cluster.entries[number]
-            for number in self._chance.sample(sorted(self._up), 2)
+            for number in self._rng.sample(sorted(self._available), 2)
         ]
         await asyncio.gather(*[self._edit(entry) for entry in entries])
 
     async def _edit(self, entry: Entry) -> None:
-        name = self._chance.choice(sorted(self._target.keys))
-        level = self._chance.randrange(40_000, 90_000)
+        name = self._rng.choice(sorted(self._target.keys))
+        max_wait_ms = self._rng.randrange(40_000, 90_000)
         try:
             number = await asyncio.to_thread(
                 self._propose,
                 entry,
                 name,
-                level,
+                max_wait_ms,
             )
         except Exception:
             return
         if number:
-            self.observations.edits.append((number, name, level))
+            self.observations.edits.append((number, name, max_wait_ms))
 
-    def _propose(self, entry: Entry, name: str, level: int) -> int | None:
-        told = self._cluster.call_operator_api(
+    def _propose(self, entry: Entry, name: str, max_wait_ms: int) -> int | None:
+        reply = self._cluster.call_operator_api(
             'GET', '/tree', b'', entry.operators
         )
-        tree = told['tree']
+        tree = reply['tree']
         leaf = tree['workspaces'][name]['classes']['summary']
-        leaf['max_wait_ms'] = level
-        body = orjson.dumps({'base': told['version'], 'tree': tree})
+        leaf['max_wait_ms'] = max_wait_ms
+        body = orjson.dumps({'base': reply['version'], 'tree': tree})
         answer = self._cluster.call_operator_api(
             'PUT', '/tree', body, entry.operators
         )
         return answer.get('version')
 
-    async def _order(self, name: str, order: dict[str, Any]) -> None:
+    async def _configure_engine(self, name: str, order: dict[str, Any]) -> None:
         try:
             await asyncio.to_thread(
                 self._cluster.order,
@@ -347,7 +354,7 @@
         except Exception:
             return
 
-    async def _store(self, order: dict[str, Any]) -> None:
+    async def _configure_store(self, order: dict[str, Any]) -> None:
         await asyncio.to_thread(
             self._cluster.order,
             'platform',
@@ -355,7 +362,7 @@
             '/admin/store',
         )
 
-    async def _list(self, name: str, state: str) -> None:
+    async def _set_instance_state(self, name: str, state: str) -> None:
         await asyncio.to_thread(
             self._cluster.order,
             'platform',
@@ -363,12 +370,12 @@
             '/admin/instances',
         )
 
-    async def _fault(self, **order: Any) -> None:
+    async def _configure_proxies(self, **order: Any) -> None:
         await asyncio.to_thread(self._cluster.fault, **order)
 
-    async def _heal(self) -> None:
-        await self._fault(kind='clear')
-        await self._store(
+    async def _clear_faults(self) -> None:
+        await self._configure_proxies(kind='clear')
+        await self._configure_store(
             {
                 'down': False,
                 'slow_s': 0,
@@ -377,32 +384,32 @@
             },
         )
 
-    async def _gather_engine(self, name: str) -> None:
+    async def _collect_engine_log(self, name: str) -> None:
         """Keep what an engine logged, before it is lost."""
         try:
             log = await asyncio.to_thread(self._cluster.read, name, '/log')
         except Exception:
             return
-        for request_id, tries in log.items():
-            for number, run in enumerate(tries):
+        for request_id, attempts in log.items():
+            for number, run in enumerate(attempts):
                 key = (name, request_id, number, run['at'])
                 self.observations.engine_runs[key] = run['at']
 
-    async def _gather(self) -> None:
+    async def _collect_logs(self) -> None:
         for name in self._cluster.plan.engines:
-            await self._gather_engine(name)
+            await self._collect_engine_log(name)
         for name in self._cluster.plan.services:
             runs = await asyncio.to_thread(self._cluster.read, name, '/log')
             self.observations.service_runs.extend(run['body'] for run in runs)
-        entry = self._cluster.entries[min(self._up)]
-        told = await asyncio.to_thread(
+        entry = self._cluster.entries[min(self._available)]
+        reply = await asyncio.to_thread(
             self._cluster.call_operator_api,
             'GET',
             '/tree',
             b'',
             entry.operators,
         )
-        self.observations.final_tree = told['tree']
+        self.observations.final_tree = reply['tree']
 
 
 @dataclass(slots=True)
--- a/bench/chaos_checks.py
+++ b/bench/chaos_checks.py
@@ -8,11 +8,11 @@
 
 from bench.load import Answer, Job
 
-LEFT_ALONE_S = 3.0
-LIST_LAG_S = 1.0
-CLOCK_SLACK_S = 1.0
+LEAVE_GRACE_S = 3.0
+INSTANCE_LIST_LAG_S = 1.0
+CLOCK_TOLERANCE_S = 1.0
 # Stock is asked for again where a call broke off; orders never are.
-ONCE = '"class":"order"'
+NON_IDEMPOTENT_BODY = '"class":"order"'
 
 
 @dataclass(slots=True)
@@ -44,15 +44,16 @@
         """Tell whether an engine is leaving now."""
         now_s = time.time()
         return any(
-            one[0] == name and one[2] >= now_s for one in self.leave_windows
+            window[0] == name and window[2] >= now_s
+            for window in self.leave_windows
         )
 
     def was_killed(self, entry: str, answer: Answer) -> bool:
         """Tell whether an entry was killed while a request was open."""
         return any(
             name == entry
-            and answer.sent_s - CLOCK_SLACK_S <= at <= answer.end_s
-            for name, at in self.killed
+            and answer.sent_s - CLOCK_TOLERANCE_S <= time_s <= answer.end_s
+            for name, time_s in self.killed
         )
 
 
@@ -70,53 +71,56 @@
         'graceful stops': len(observations.stopped),
     }
     violations = [
-        *_answers(observations),
-        *_orders(observations),
-        *_versions(observations),
-        *_edits(observations),
-        *_leaves(observations),
+        *_check_answers(observations),
+        *_check_orders(observations),
+        *_check_versions(observations),
+        *_check_edits(observations),
+        *_check_leaves(observations),
         *observations.unclean_stops,
     ]
     return checks, violations
 
 
-def _answers(observations: Observations) -> list[str]:
+def _check_answers(observations: Observations) -> list[str]:
     found = []
     for entry, job, answer in observations.answers:
-        what = f'{job.leaf} {job.number} at {entry}'
+        request = f'{job.leaf} {job.number} at {entry}'
         if answer.fault in {'crossed', 'doubled', 'disordered'}:
-            found.append(f'{what}: {answer.fault}')
+            found.append(f'{request}: {answer.fault}')
         elif answer.fault == 'no answer: TimeoutError':
-            found.append(f'{what}: no end')
+            found.append(f'{request}: no end')
         elif answer.fault == 'cut' and not observations.was_killed(
             entry, answer
         ):
-            found.append(f'{what}: cut though its entry was not killed')
+            found.append(f'{request}: cut though its entry was not killed')
     return found
 
 
-def _orders(observations: Observations) -> list[str]:
+def _check_orders(observations: Observations) -> list[str]:
     runs = Counter(observations.service_runs)
     found = [
         f'order {body} ran {count} times'
         for body, count in runs.items()
-        if count > 1 and ONCE in body
+        if count > 1 and NON_IDEMPOTENT_BODY in body
     ]
-    tried: dict[int, list[Answer]] = {}
+    answers_by_order: dict[int, list[Answer]] = {}
     for _, job, answer in observations.answers:
         if job.leaf == 'order':
-            tried.setdefault(job.number, []).append(answer)
-    for number, answers in tried.items():
-        ran = any(f'n{number}"' in body and ONCE in body for body in runs)
-        told_not_run = all(answer.ran == 'no' for answer in answers)
-        if ran and told_not_run:
+            answers_by_order.setdefault(job.number, []).append(answer)
+    for number, answers in answers_by_order.items():
+        ran = any(
+            f'n{number}"' in body and NON_IDEMPOTENT_BODY in body
+            for body in runs
+        )
+        reported_not_run = all(answer.ran == 'no' for answer in answers)
+        if ran and reported_not_run:
             found.append(f'order {number} ran, told not run')
         if not ran and any(answer.complete for answer in answers):
             found.append(f'order {number} answered, never ran')
     return found
 
 
-def _versions(observations: Observations) -> list[str]:
+def _check_versions(observations: Observations) -> list[str]:
     highest: dict[tuple[str, int], int] = {}
     found = []
     for entry, pid, version in observations.versions:
@@ -126,35 +130,37 @@
     return found
 
 
-def _edits(observations: Observations) -> list[str]:
+def _check_edits(observations: Observations) -> list[str]:
     """The last accepted edit of each workspace must hold in the end."""
-    last: dict[str, tuple[int, int]] = {}
-    for number, name, level in observations.edits:
-        last[name] = max(last.get(name, (0, 0)), (number, level))
+    last_edits: dict[str, tuple[int, int]] = {}
+    for number, name, max_wait_ms in observations.edits:
+        last_edits[name] = max(
+            last_edits.get(name, (0, 0)), (number, max_wait_ms)
+        )
     numbers = Counter(number for number, _, _ in observations.edits)
     found = [
         f'version {number} was told to {count} operators'
         for number, count in numbers.items()
         if count > 1
     ]
-    for name, (number, level) in last.items():
+    for name, (number, max_wait_ms) in last_edits.items():
         branch = observations.final_tree['workspaces'][name]
-        held = branch['classes']['summary'].get('max_wait_ms')
-        if held != level and number == max(numbers):
+        final_max_wait_ms = branch['classes']['summary'].get('max_wait_ms')
+        if final_max_wait_ms != max_wait_ms and number == max(numbers):
             found.append(f'edit {number} of {name} is lost')
     return found
 
 
-def _leaves(observations: Observations) -> list[str]:
+def _check_leaves(observations: Observations) -> list[str]:
     found = []
     for name, start_s, end_s in observations.leave_windows:
-        late = [
+        late_runs = [
             key
-            for key, at in observations.engine_runs.items()
+            for key, time_s in observations.engine_runs.items()
             if key[0] == name
-            and start_s + LIST_LAG_S + LEFT_ALONE_S < at < end_s
+            and start_s + INSTANCE_LIST_LAG_S + LEAVE_GRACE_S < time_s < end_s
         ]
-        found.extend(f'{name} got {key[1]} after leaving' for key in late)
+        found.extend(f'{name} got {key[1]} after leaving' for key in late_runs)
     return found
 
 
@@ -165,8 +171,8 @@
     if not third:
         return 'memory: too few samples'
     early = statistics.median(longest[third : 2 * third]) / 1024
-    late = statistics.median(longest[-third:]) / 1024
+    late_runs = statistics.median(longest[-third:]) / 1024
     return (
         f'memory of the longest-lived process over {len(longest)} samples: '
-        f'middle third {early:.1f} MB, last third {late:.1f} MB'
+        f'middle third {early:.1f} MB, last third {late_runs:.1f} MB'
     )
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -22,20 +22,20 @@
 
 OPERATOR_KEY = 'operator-key'
 PEER_KEY = 'peer-key-of-the-bench'
-READY_S = 30.0
-POLL_S = 0.05
+READY_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 BUILD = Path('build')
 UDP = socket.SOCK_DGRAM
 # Each driver has loopback addresses of its own, so that one never takes a port
 # that another's restarting process has just left.
 NETWORK = f'127.{10 + os.getpid() % 200}.{os.getpid() // 200 % 250}'
 HOST = f'{NETWORK}.1'
-PORT_LEAST = 12_000
-PORT_MOST = 32_000
+MIN_PORT = 12_000
+MAX_PORT = 32_000
 _PORTS = itertools.cycle(
     (
-        *range(PORT_LEAST + os.getpid() % 10_000, PORT_MOST),
-        *range(PORT_LEAST, PORT_LEAST + os.getpid() % 10_000),
+        *range(MIN_PORT + os.getpid() % 10_000, MAX_PORT),
+        *range(MIN_PORT, MIN_PORT + os.getpid() % 10_000),
     ),
 )
 
@@ -117,7 +117,7 @@
             self._start_backend('service', name, options, pools['service'])
         self._start_proxies()
         self.wait_http(self.platform, '/instances')
-        self._list_backends(pools)
+        self._register_backends(pools)
         self.register_entries()
         for entry in self.entries:
             self.start_entry(entry)
@@ -130,9 +130,13 @@
     def restart_engine(self, name: str) -> None:
         """Start an engine anew at its address."""
         pools = _pools(self.plan.tree)['engine']
-        chosen = {'name': name, **self.plan.engines[name]}
-        chosen.setdefault('models', next(iter(pools.values()))['models'])
-        self._start_standin('engine', self.addresses[name], chosen, name)
+        merged_options = {'name': name, **self.plan.engines[name]}
+        merged_options.setdefault(
+            'models', next(iter(pools.values()))['models']
+        )
+        self._start_standin(
+            'engine', self.addresses[name], merged_options, name
+        )
 
     def start_entry(self, entry: Entry) -> None:
         """Start one entry instance."""
@@ -264,7 +268,7 @@
 
     def wait_http(self, address: str, path: str) -> None:
         """Wait until a page answers with 200."""
-        deadline = time.monotonic() + READY_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             try:
                 answer = self.http.request(
@@ -273,23 +277,25 @@
                     timeout=2,
                 )
             except HTTPError:
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
                 continue
             if answer.status == 200:
                 return
-            time.sleep(POLL_S)
-        raise TimeoutError(f'{address}{path} did not answer in {READY_S} s')
+            time.sleep(POLL_INTERVAL_S)
+        raise TimeoutError(
+            f'{address}{path} did not answer in {READY_TIMEOUT_S} s'
+        )
 
     def wait_members(self, count: int) -> None:
         """Wait until all entries see each other."""
-        deadline = time.monotonic() + READY_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         for entry in self.entries:
             while time.monotonic() < deadline:
                 instances = self.status(entry)['instances'].values()
                 live = [seen for seen in instances if seen['state'] == 'live']
                 if len(live) >= count:
                     break
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
 
     def _plan_entry(self, number: int) -> Entry:
         zones = self.plan.zones
@@ -318,13 +324,13 @@
     ) -> None:
         address = free_address()
         self.addresses[name] = address
-        chosen = {'name': name, **options}
+        merged_options = {'name': name, **options}
         if kind == 'engine':
             pool = next(iter(pools.values()))
-            chosen.setdefault('models', pool['models'])
+            merged_options.setdefault('models', pool['models'])
         if self.plan.proxied:
             self._routes[name] = (free_address(), address)
-        self._start_standin(kind, address, chosen, name)
+        self._start_standin(kind, address, merged_options, name)
 
     def _start_proxies(self) -> None:
         if not self.plan.proxied:
@@ -333,13 +339,13 @@
         self._start_standin('proxies', self.proxy_api, self._routes)
         time.sleep(0.5)
 
-    def _list_backends(self, pools: Mapping[str, Any]) -> None:
-        listed = []
+    def _register_backends(self, pools: Mapping[str, Any]) -> None:
+        records = []
         for kind, names in (
             ('engine', self.plan.engines),
             ('service', self.plan.services),
         ):
-            listed.extend(
+            records.extend(
                 {
                     'name': name,
                     'role': next(iter(pools[kind])),
@@ -349,7 +355,7 @@
                 }
                 for name in names
             )
-        self.order('platform', listed, '/admin/instances')
+        self.order('platform', records, '/admin/instances')
 
     def _start_standin(
         self,
--- a/bench/decision.py
+++ b/bench/decision.py
@@ -16,14 +16,14 @@
     TicketOpened,
 )
 
-SIZES = (12, 150)
+SERVER_COUNTS = (12, 150)
 REQUESTS = 3000
-SHARED_PARTS = 200
+SHARED_PREFIXES = 200
 SHARED_TOKENS = 13_300
-OWN_TOKENS = 3700
-MEMORY_TOKENS = 600_000
-PERIOD_S = 0.1  # between two requests, so that none waits
-OWN_PARTS_FROM = 10_000  # keys above those of the shared parts
+UNIQUE_TOKENS = 3700
+KV_CACHE_TOKENS = 600_000
+REQUEST_INTERVAL_S = 0.1  # between two requests, so that none waits
+FIRST_UNIQUE_KEY = 10_000  # keys above those of the shared parts
 US_PER_S = 1_000_000
 TIERS = 3
 
@@ -43,20 +43,22 @@
 def measure(servers: int) -> DecisionCost:
     """Place prompts one after the other and time each decision."""
     broker = _broker(servers)
-    taken = []
+    durations_us = []
     for number in range(REQUESTS):
-        now_s = number * PERIOD_S
+        now_s = number * REQUEST_INTERVAL_S
         opened = TicketOpened(_ticket(number, now_s))
-        began_s = time.perf_counter()
+        start_s = time.perf_counter()
         broker.apply(opened, now_s)
-        taken.append((time.perf_counter() - began_s) * US_PER_S)
+        durations_us.append((time.perf_counter() - start_s) * US_PER_S)
         broker.apply(GrantReleased(opened.ticket.ticket_id), now_s)
-    return DecisionCost(servers, statistics.median(taken), max(taken))
+    return DecisionCost(
+        servers, statistics.median(durations_us), max(durations_us)
+    )
 
 
 def show() -> None:
     """Print the cost for each size of a group."""
-    for servers in SIZES:
+    for servers in SERVER_COUNTS:
         cost = measure(servers)
         sys.stdout.write(
             f'{cost.servers} servers: median {cost.median_us:.0f} us, '
@@ -65,7 +67,7 @@
 
 
 def _broker(servers: int) -> Broker:
-    broker = Broker(fleet_policy(MEMORY_TOKENS))
+    broker = Broker(fleet_policy(KV_CACHE_TOKENS))
     views = (
         ServerView(f'e-{number}', '1.1.1.1:1', 'lm', slots=64)
         for number in range(servers)
@@ -86,9 +88,9 @@
         max_wait_s=5.0,
         pausable=False,
         pieces=(
-            PromptPiece(number % SHARED_PARTS, SHARED_TOKENS),
-            PromptPiece(OWN_PARTS_FROM + number, OWN_TOKENS),
+            PromptPiece(number % SHARED_PREFIXES, SHARED_TOKENS),
+            PromptPiece(FIRST_UNIQUE_KEY + number, UNIQUE_TOKENS),
         ),
-        tokens_in=SHARED_TOKENS + OWN_TOKENS,
+        tokens_in=SHARED_TOKENS + UNIQUE_TOKENS,
         is_tight=number % TIERS == 0,
     )
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -40,7 +40,7 @@
         ),
     ):
         with running(deployment(name, ENTRIES)) as cluster:
-            answers = _load(cluster, classes)
+            answers = _run_load(cluster, classes)
             sys.stdout.write(f'\n{name}, {ENTRIES} entry instances\n')
             rows = summarise(answers, cluster.plan.tree)
             print_table(rows)
@@ -49,24 +49,24 @@
     return broken
 
 
-def _load(cluster: Cluster, classes) -> list[Answer]:
-    chance = random.Random(SEED)
+def _run_load(cluster: Cluster, classes) -> list[Answer]:
+    rng = random.Random(SEED)
     workspaces = sorted(cluster.keys)
     jobs = []
     for leaf, kind, per_s, tokens in classes:
-        at_s = chance.expovariate(per_s)
+        at_s = rng.expovariate(per_s)
         while at_s < SECONDS:
             jobs.append(
                 Job(
                     at_s,
-                    chance.choice(workspaces),
+                    rng.choice(workspaces),
                     leaf,
                     kind,
-                    max(1, int(tokens * chance.uniform(0.5, 1.5))),
+                    max(1, int(tokens * rng.uniform(0.5, 1.5))),
                     'size of slippers? ' * 8,
                 ),
             )
-            at_s += chance.expovariate(per_s)
+            at_s += rng.expovariate(per_s)
     return uvloop.run(send_jobs(number_jobs(jobs), discover_target(cluster)))
 
 
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -18,14 +18,14 @@
 from bench.summary import print_table, summarise
 
 DEPLOYMENT = 'bombas-cavalcanti'
-DECISIONS = {
+POLICY_DECISIONS = {
     'ours': 'shared',
     'priority-local': 'priority-local',
     'least-outstanding': 'least-outstanding',
     'fifo-random': 'fifo-random',
     'before': 'shared',
 }
-OUT = BUILD / 'bench'
+OUTPUT_DIR = BUILD / 'bench'
 
 
 def run(
@@ -53,11 +53,11 @@
     plan = deployment(
         DEPLOYMENT,
         instances,
-        flags=('--decisions', DECISIONS[policy]),
+        flags=('--decisions', POLICY_DECISIONS[policy]),
         source=source,
     )
     with running(plan) as cluster:
-        answers = uvloop.run(_play(cluster, scenario, seed))
+        answers = uvloop.run(_send_trace(cluster, scenario, seed))
         report = _report(cluster, scenario, answers)
     report.update(
         scenario=name,
@@ -84,35 +84,37 @@
     sys.stdout.write(f'offline bound: {bounds}\n')
 
 
-async def _play(
+async def _send_trace(
     cluster: Cluster,
     scenario: Scenario,
     seed: int,
 ) -> list[Answer]:
     target = discover_target(cluster, seed)
     target.addresses = [entry.callers for entry in cluster.entries]
-    faults = asyncio.ensure_future(_inject(cluster, scenario, target))
+    faults = asyncio.ensure_future(_inject_faults(cluster, scenario, target))
     answers = await send_jobs(scenario.jobs, target)
     await faults
     return answers
 
 
-async def _inject(cluster: Cluster, scenario: Scenario, target) -> None:
+async def _inject_faults(cluster: Cluster, scenario: Scenario, target) -> None:
     start_s = time.monotonic()
-    for event in sorted(scenario.events, key=lambda one: one.at_s):
+    for event in sorted(scenario.events, key=lambda event: event.at_s):
         await asyncio.sleep(max(0, start_s + event.at_s - time.monotonic()))
         if event.kill:
             await asyncio.to_thread(
                 cluster.kill,
                 cluster.processes[event.target],
             )
-            gone = [
+            killed_addresses = [
                 entry.callers
                 for entry in cluster.entries
                 if entry.name == event.target
             ]
             target.addresses = [
-                address for address in target.addresses if address not in gone
+                address
+                for address in target.addresses
+                if address not in killed_addresses
             ]
         else:
             await asyncio.to_thread(
@@ -129,10 +131,12 @@
     answers: list[Answer],
 ) -> dict[str, Any]:
     rows = summarise(answers, cluster.plan.tree)
-    sent, doubled = _engine_work(cluster)
+    sent, duplicates = _backend_work(cluster)
     delivered = sum(answer.tokens for answer in answers if answer.complete)
-    alive = [entry for entry in cluster.entries if entry.process.poll() is None]
-    status = cluster.status(alive[0])
+    running_entries = [
+        entry for entry in cluster.entries if entry.process.poll() is None
+    ]
+    status = cluster.status(running_entries[0])
     raised = Counter(
         alarm['node'].split('/')[1]
         for alarm in status['alarms']
@@ -142,29 +146,31 @@
         'classes': rows,
         'wasted': max(0, sent - delivered) / max(1, sent),
         'engine_tokens': sent,
-        'doubled': doubled,
+        'doubled': duplicates,
         'alarms': dict(raised),
         'labelled': sorted(scenario.expected_breaches),
-        'shed_upper_before_lower': _shed_faults(answers, rows),
+        'shed_upper_before_lower': _count_top_tier_sheds(answers, rows),
         'bound': bound_attainment(scenario.jobs, cluster.plan),
         'done_per_10s': _done_per_10s(answers),
     }
 
 
-def _engine_work(cluster: Cluster) -> tuple[int, int]:
+def _backend_work(cluster: Cluster) -> tuple[int, int]:
     sent = 0
     for name in cluster.plan.engines:
         if cluster.processes[name].poll() is not None:
             continue
         runs = cluster.read(name, '/log').values()
-        sent += sum(run['sent'] for tries in runs for run in tries)
+        sent += sum(run['sent'] for attempts in runs for run in attempts)
     bodies: Counter[str] = Counter()
     for name in cluster.plan.services:
         bodies.update(run['body'] for run in cluster.read(name, '/log'))
     return sent, sum(count - 1 for count in bodies.values())
 
 
-def _shed_faults(answers: list[Answer], rows: list[dict[str, Any]]) -> int:
+def _count_top_tier_sheds(
+    answers: list[Answer], rows: list[dict[str, Any]]
+) -> int:
     """Count sheds of an upper tier that named a lower one's favour."""
     return sum(
         answer.code == 2003
@@ -191,15 +197,15 @@
     scenario: Scenario,
     answers: list[Answer],
 ) -> None:
-    OUT.mkdir(parents=True, exist_ok=True)
+    OUTPUT_DIR.mkdir(parents=True, exist_ok=True)
     stem = (
         f'{report["scenario"]}-{report["policy"]}-{report["seed"]}'
         f'-{report["instances"]}'
     )
-    (OUT / f'{stem}.json').write_bytes(
+    (OUTPUT_DIR / f'{stem}.json').write_bytes(
         orjson.dumps(report, option=orjson.OPT_INDENT_2),
     )
-    (OUT / f'{stem}.trace.jsonl').write_bytes(dump_jobs(scenario.jobs))
-    (OUT / f'{stem}.answers.jsonl').write_bytes(
+    (OUTPUT_DIR / f'{stem}.trace.jsonl').write_bytes(dump_jobs(scenario.jobs))
+    (OUTPUT_DIR / f'{stem}.answers.jsonl').write_bytes(
         b''.join(orjson.dumps(as_row(answer)) + b'\n' for answer in answers),
     )
--- a/bench/load.py
+++ b/bench/load.py
@@ -10,7 +10,7 @@
 import httptools
 import orjson
 
-PATIENCE_S = 180.0
+REQUEST_TIMEOUT_S = 180.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
         return self.status == 200 and not self.fault and not self.code
 
 
-class _Exchange(asyncio.Protocol):
+class _ClientConnection(asyncio.Protocol):
     """Own one connection to an entry for one request at a time."""
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
     def connection_lost(self, exc) -> None:
         self._end()
 
-    def ask(self, request: bytes) -> asyncio.Future:
+    def send_request(self, request: bytes) -> asyncio.Future:
         self.done = asyncio.get_running_loop().create_future()
         self.body = bytearray()
         self.headers = {}
@@ -120,20 +120,22 @@
     keys: dict[str, str]
     model: str
     seed: int = 0
-    idle_connections: dict[str, list[_Exchange]] = field(default_factory=dict)
+    idle_connections: dict[str, list[_ClientConnection]] = field(
+        default_factory=dict
+    )
     headers: dict[str, str] = field(default_factory=dict)
 
 
 async def send_jobs(jobs: Sequence[Job], target: Target) -> list[Answer]:
     """Send each job at its time and return all answers."""
-    chance = random.Random(target.seed)
+    rng = random.Random(target.seed)
     start_s = time.monotonic()
     tasks = []
     for job in jobs:
         wait_s = start_s + job.at_s - time.monotonic()
         if wait_s > 0:
             await asyncio.sleep(wait_s)
-        address = chance.choice(target.addresses)
+        address = rng.choice(target.addresses)
         tasks.append(asyncio.ensure_future(send(job, target, address)))
     return await asyncio.gather(*tasks)
 
@@ -143,31 +145,33 @@
     answer = Answer(job.number, job.leaf)
     answer.sent_s = time.monotonic()
     try:
-        async with asyncio.timeout(PATIENCE_S):
-            exchange = await _connect(target, address)
-            await exchange.ask(_request(job, target))
+        async with asyncio.timeout(REQUEST_TIMEOUT_S):
+            connection = await _connect(target, address)
+            await connection.send_request(_request(job, target))
     except (OSError, TimeoutError) as error:
         answer.fault = f'no answer: {type(error).__name__}'
         answer.end_s = time.monotonic()
         return answer
     answer.end_s = time.monotonic()
-    answer.first_s = exchange.first_s
-    _check(job, exchange, answer)
-    if exchange.complete and not exchange.transport.is_closing():
-        target.idle_connections.setdefault(address, []).append(exchange)
+    answer.first_s = connection.first_s
+    _record_response(job, connection, answer)
+    if connection.complete and not connection.transport.is_closing():
+        target.idle_connections.setdefault(address, []).append(connection)
     return answer
 
 
-async def _connect(target: Target, address: str) -> _Exchange:
+async def _connect(target: Target, address: str) -> _ClientConnection:
     idle_connections = target.idle_connections.get(address, [])
     while idle_connections:
-        exchange = idle_connections.pop()
-        if not exchange.transport.is_closing():
-            return exchange
+        connection = idle_connections.pop()
+        if not connection.transport.is_closing():
+            return connection
     host, port = address.rsplit(':', 1)
     loop = asyncio.get_running_loop()
-    _, exchange = await loop.create_connection(_Exchange, host, int(port))
-    return exchange
+    _, connection = await loop.create_connection(
+        _ClientConnection, host, int(port)
+    )
+    return connection
 
 
 def _request(job: Job, target: Target) -> bytes:
@@ -197,20 +201,22 @@
     return ('\r\n'.join(lines) + '\r\n\r\n').encode() + body
 
 
-def _check(job: Job, exchange: _Exchange, answer: Answer) -> None:
-    answer.status = exchange.status
-    headers = exchange.headers
+def _record_response(
+    job: Job, connection: _ClientConnection, answer: Answer
+) -> None:
+    answer.status = connection.status
+    headers = connection.headers
     answer.code = int(headers.get('x-siskinpass-code', 0))
     answer.ran = headers.get('x-siskinpass-ran', '')
     answer.request_id = headers.get('x-request-id', '')
     answer.retry_after_ms = int(headers.get('retry-after-ms', 0))
     answer.address = headers.get('x-siskinpass-address', '')
-    body = bytes(exchange.body)
+    body = bytes(connection.body)
     if b'event: error\n' in body:
         tail = body.rsplit(b'event: error\ndata: ', 1)[1]
         answer.code = orjson.loads(tail)['error']['code']
         return
-    if not exchange.complete:
+    if not connection.complete:
         answer.fault = 'cut'
     elif answer.code:
         return
@@ -219,10 +225,10 @@
         if f'n{job.number}"' not in sent:
             answer.fault = 'crossed'
     else:
-        answer.fault = _check_tokens(job, body, answer)
+        answer.fault = _token_fault(job, body, answer)
 
 
-def _check_tokens(job: Job, body: bytes, answer: Answer) -> str:
+def _token_fault(job: Job, body: bytes, answer: Answer) -> str:
     if job.stream:
         events = body.split(b'\n\n')
         if events[-2:] != [b'data: [DONE]', b'']:
@@ -235,19 +241,19 @@
         text = orjson.loads(body)['choices'][0]['text']
         texts = [f'{token} ' for token in text.split()]
     answer.tokens = len(texts)
-    wanted = [f'n{job.number}-{index} ' for index in range(job.tokens)]
+    expected = [f'n{job.number}-{index} ' for index in range(job.tokens)]
     found = [text[max(0, text.find('n')) :] for text in texts]
-    if found == wanted:
+    if found == expected:
         return ''
-    return _name_fault(found, wanted)
+    return _classify_token_fault(found, expected)
 
 
-def _name_fault(found: list[str], wanted: list[str]) -> str:
-    if set(found) - set(wanted):
+def _classify_token_fault(found: list[str], expected: list[str]) -> str:
+    if set(found) - set(expected):
         return 'crossed'
     if len(set(found)) < len(found):
         return 'doubled'
-    return 'cut' if len(found) < len(wanted) else 'disordered'
+    return 'cut' if len(found) < len(expected) else 'disordered'
 
 
 def dump_jobs(jobs: Sequence[Job]) -> bytes:
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -17,14 +17,14 @@
 from bench.load import Answer, Job, Target, send, send_jobs
 from bench.summary import quantile
 
-SIZES = (1, 50, 200, 400)
+STREAM_COUNTS = (1, 50, 200, 400)
 ENGINES = 4
 TOKENS = 200
 STEP_MS = 20
-PROBES = 200
+PROBE_COUNT = 200
 TICKS_PER_S = os.sysconf('SC_CLK_TCK')
-OUT = BUILD / 'bench' / 'overhead.json'
-ROW = '{:>8}{:>12}{:>12}{:>12}{:>12}{:>14}{:>14}{:>12}{:>10}\n'
+OUTPUT_FILE = BUILD / 'bench' / 'overhead.json'
+ROW_FORMAT = '{:>8}{:>12}{:>12}{:>12}{:>12}{:>14}{:>14}{:>12}{:>10}\n'
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,12 +61,12 @@
     )
 
 
-def measure(sizes: Sequence[int] = SIZES) -> list[dict[str, Any]]:
+def measure(sizes: Sequence[int] = STREAM_COUNTS) -> list[dict[str, Any]]:
     """Return one row per number of concurrent streams."""
     with running(plan()) as cluster:
         rows = [uvloop.run(_measure(cluster, size)) for size in sizes]
-    OUT.parent.mkdir(parents=True, exist_ok=True)
-    OUT.write_bytes(orjson.dumps(rows, option=orjson.OPT_INDENT_2))
+    OUTPUT_FILE.parent.mkdir(parents=True, exist_ok=True)
+    OUTPUT_FILE.write_bytes(orjson.dumps(rows, option=orjson.OPT_INDENT_2))
     return rows
 
 
@@ -74,7 +74,7 @@
     """Print the rows."""
     write = sys.stdout.write
     write(
-        ROW.format(
+        ROW_FORMAT.format(
             'streams',
             'direct p50',
             'added p50',
@@ -88,7 +88,7 @@
     )
     for row in rows:
         write(
-            ROW.format(
+            ROW_FORMAT.format(
                 row['streams'],
                 f'{row["direct_p50_ms"]:.2f}',
                 f'{row["added_p50_ms"]:.2f}',
@@ -105,78 +105,78 @@
 async def _measure(cluster: Cluster, size: int) -> dict[str, Any]:
     entry = cluster.entries[0]
     pid = entry.process.pid
-    where = Target([entry.callers], cluster.keys, 'm1')
+    routed = Target([entry.callers], cluster.keys, 'm1')
     app = next(iter(cluster.plan.services))
     direct = replace(
-        where, addresses=[cluster.addresses[app]], idle_connections={}
+        routed, addresses=[cluster.addresses[app]], idle_connections={}
     )
-    await _probe(where, 20)
+    await _probe(routed, 20)
     idle = usage(pid)
-    calls = await _probe(where, PROBES)
-    quiet = usage(pid)
-    jobs = [_stream(number, size) for number in range(size)]
+    idle_calls_ms = await _probe(routed, PROBE_COUNT)
+    after_calls = usage(pid)
+    jobs = [_stream_job(number, size) for number in range(size)]
     start_s = time.monotonic()
-    streams = asyncio.ensure_future(send_jobs(jobs, where))
+    streams = asyncio.ensure_future(send_jobs(jobs, routed))
     await asyncio.sleep(1.5)
-    middle = usage(pid)
-    straight = await _probe(direct, PROBES, pause_s=0.004)
-    added = await _probe(where, PROBES, pause_s=0.004)
+    during_streams = usage(pid)
+    direct_ms = await _probe(direct, PROBE_COUNT, interval_s=0.004)
+    routed_ms = await _probe(routed, PROBE_COUNT, interval_s=0.004)
     answers = await streams
     end = usage(pid)
     span_s = time.monotonic() - start_s
     return _row(
         size,
         answers,
-        (straight, added, calls),
-        (idle, quiet, middle, end),
+        (direct_ms, routed_ms, idle_calls_ms),
+        (idle, after_calls, during_streams, end),
         span_s,
     )
 
 
 def _row(size, answers, probes, used, span_s) -> dict[str, Any]:
-    straight, added, _ = probes
-    idle, quiet, middle, end = used
+    direct_ms, routed_ms, _ = probes
+    idle, after_calls, during_streams, end = used
     tokens = sum(answer.tokens for answer in answers)
     if not all(answer.complete for answer in answers):
         raise RuntimeError('a stream was not whole')
-    per_call_s = (quiet.cpu_s - idle.cpu_s) / PROBES
+    per_call_s = (after_calls.cpu_s - idle.cpu_s) / PROBE_COUNT
     # The probes sent beside the streams are not the tokens' cost.
-    cpu_s = end.cpu_s - quiet.cpu_s - PROBES * per_call_s
+    cpu_s = end.cpu_s - after_calls.cpu_s - PROBE_COUNT * per_call_s
     return {
         'streams': size,
-        'direct_p50_ms': quantile(straight, 0.5),
-        'added_p50_ms': quantile(added, 0.5) - quantile(straight, 0.5),
-        'added_p99_ms': quantile(added, 0.99) - quantile(straight, 0.99),
+        'direct_p50_ms': quantile(direct_ms, 0.5),
+        'added_p50_ms': quantile(routed_ms, 0.5) - quantile(direct_ms, 0.5),
+        'added_p99_ms': quantile(routed_ms, 0.99) - quantile(direct_ms, 0.99),
         'tokens_per_s': tokens / span_s,
         'cpu_us_per_token': cpu_s / tokens * 1_000_000,
         'cpu_ms_per_call': per_call_s * 1000,
-        'kb_per_stream': (middle.rss_kb - quiet.rss_kb) / size,
+        'kb_per_stream': (during_streams.rss_kb - after_calls.rss_kb) / size,
         'rss_mb': end.rss_kb / 1024,
-        'cpu_of_a_core': (end.cpu_s - quiet.cpu_s) / span_s,
-        'threads': middle.threads,
+        'cpu_of_a_core': (end.cpu_s - after_calls.cpu_s) / span_s,
+        'threads': during_streams.threads,
         'first_p50_ms': statistics.median(
             (answer.first_s - answer.sent_s) * 1000 for answer in answers
         ),
     }
 
 
-def _stream(number: int, size: int) -> Job:
+def _stream_job(number: int, size: int) -> Job:
     at_s = number / size
     return Job(at_s, 'one', 'stream', 'engine', TOKENS, 'p', number)
 
 
 async def _probe(
-    where: Target,
+    routed: Target,
     count: int,
-    pause_s: float = 0,
+    interval_s: float = 0,
 ) -> list[float]:
     """Return the times of small calls in ms, ordered."""
     times = []
     for number in range(count):
         job = Job(0, 'one', 'probe', 'service', 0, '', number)
-        answer: Answer = await send(job, where, where.addresses[0])
+        answer: Answer = await send(job, routed, routed.addresses[0])
         if not answer.complete:
             raise RuntimeError(f'a probe failed: {answer}')
         times.append((answer.end_s - answer.sent_s) * 1000)
-        await asyncio.sleep(pause_s)
+        await asyncio.sleep(interval_s)
     return sorted(times)
--- a/bench/report.py
+++ b/bench/report.py
@@ -12,7 +12,7 @@
 
 from bench.cluster import BUILD  # noqa: E402
 
-OUT = BUILD / 'bench'
+OUTPUT_DIR = BUILD / 'bench'
 HEAD = (
     '| scenario | policy | instances | class | sent | in target | bound '
     '| p50 ms | p99 ms | refused | wasted |\n'
@@ -30,10 +30,10 @@
     for run in runs:
         lines.extend(_rows(run))
     for scenario in sorted({run['scenario'] for run in runs}):
-        own = [run for run in runs if run['scenario'] == scenario]
-        _plot(scenario, own)
+        scenario_runs = [run for run in runs if run['scenario'] == scenario]
+        _plot(scenario, scenario_runs)
         lines.append(f'\n![{scenario}]({scenario}.png)\n')
-    page = OUT / 'report.md'
+    page = OUTPUT_DIR / 'report.md'
     page.write_text(''.join(lines))
     return page
 
@@ -45,7 +45,7 @@
 def _paths() -> list[Path]:
     return [
         path
-        for path in sorted(OUT.glob('*.json'))
+        for path in sorted(OUTPUT_DIR.glob('*.json'))
         if path.stem != 'overhead' and not path.stem.startswith('chaos')
     ]
 
@@ -85,17 +85,17 @@
         stem = f'{scenario}-{run["policy"]}-{run["seed"]}-{run["instances"]}'
         answers = [
             orjson.loads(line)
-            for line in (OUT / f'{stem}.answers.jsonl')
+            for line in (OUTPUT_DIR / f'{stem}.answers.jsonl')
             .read_bytes()
             .splitlines()
         ]
         for axis, leaf in zip(axes[0], leaves, strict=True):
             times = sorted(
-                (one['first_s'] - one['sent_s']) * 1000
-                for one in answers
-                if one['leaf'] == leaf and one['whole']
+                (answer['first_s'] - answer['sent_s']) * 1000
+                for answer in answers
+                if answer['leaf'] == leaf and answer['whole']
             )
-            shares = [(place + 1) / len(times) for place in range(len(times))]
+            shares = [(index + 1) / len(times) for index in range(len(times))]
             axis.plot(
                 times,
                 shares,
@@ -106,5 +106,5 @@
             axis.set_xlabel('first token, ms')
     axes[0][0].legend(fontsize=7)
     figure.tight_layout()
-    figure.savefig(OUT / f'{scenario}.png')
+    figure.savefig(OUTPUT_DIR / f'{scenario}.png')
     plt.close(figure)
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -8,10 +8,10 @@
 from bench.demo import number_jobs
 from bench.load import Job
 
-SECONDS = 24.0
-TOP_TOKENS = 20
-QUOTE_TOKENS = 100
-DRAFT_TOKENS = 300
+DURATION_S = 24.0
+TECHNICIAN_TOKENS = 20
+QUOTATION_TOKENS = 100
+REPORT_TOKENS = 300
 WORKSPACES = (
     'recife', 'fortaleza', 'salvador', 'natal', 'maceio',
     'aracaju', 'olinda', 'caruaru', 'mossoro', 'sobral',
@@ -49,7 +49,7 @@
     """Collect the jobs of one trace."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.jobs: list[Job] = []
 
     def add(
@@ -60,20 +60,20 @@
         kind: str = 'engine',
     ) -> None:
         """Add a class whose rate changes over time."""
-        most = max(per_s(at / 4) for at in range(int(SECONDS * 4)))
-        if most <= 0:
+        peak_per_s = max(per_s(at / 4) for at in range(int(DURATION_S * 4)))
+        if peak_per_s <= 0:
             return
-        at_s = self.chance.expovariate(most)
-        while at_s < SECONDS:
-            if self.chance.random() < per_s(at_s) / most:
+        at_s = self.rng.expovariate(peak_per_s)
+        while at_s < DURATION_S:
+            if self.rng.random() < per_s(at_s) / peak_per_s:
                 self.jobs.append(self._job(at_s, leaf, kind, tokens))
-            at_s += self.chance.expovariate(most)
+            at_s += self.rng.expovariate(peak_per_s)
 
     def _job(self, at_s: float, leaf: str, kind: str, tokens: int) -> Job:
-        length = max(1, int(self.chance.gauss(tokens, tokens / 4)))
+        length = max(1, int(self.rng.gauss(tokens, tokens / 4)))
         return Job(
             at_s,
-            self.chance.choice(WORKSPACES),
+            self.rng.choice(WORKSPACES),
             leaf,
             kind,
             length,
@@ -81,17 +81,17 @@
         )
 
     def _prompt(self) -> str:
-        start = f'manual {self.chance.randrange(40)} '
-        length = self.chance.choice(PROMPT_LENGTHS)
+        start = f'manual {self.rng.randrange(40)} '
+        length = self.rng.choice(PROMPT_LENGTHS)
         return (start * (length // len(start) + 1))[:length]
 
 
-def flat(per_s: float) -> Callable[[float], float]:
+def constant(per_s: float) -> Callable[[float], float]:
     """Return a rate that never changes."""
     return lambda at_s: per_s
 
 
-def swing(low: float, high: float) -> Callable[[float], float]:
+def ramp(low: float, high: float) -> Callable[[float], float]:
     """Return a rate that rises within five seconds, stays and falls."""
 
     def rate(at_s: float) -> float:
@@ -119,42 +119,42 @@
     return sorted(_BUILDERS)
 
 
-def _finish(name: str, trace: _Trace, **more: Any) -> Scenario:
-    return Scenario(name, number_jobs(trace.jobs), **more)
+def _finish(name: str, trace: _Trace, **fields: Any) -> Scenario:
+    return Scenario(name, number_jobs(trace.jobs), **fields)
 
 
-def _mix(trace: _Trace, top, drafts: float) -> None:
-    trace.add('technician', top, TOP_TOKENS)
-    trace.add('parts', flat(3), 0, 'service')
-    trace.add('quotation', flat(3), QUOTE_TOKENS)
-    trace.add('report', flat(drafts), DRAFT_TOKENS)
+def _add_classes(trace: _Trace, technician_rate, reports_per_s: float) -> None:
+    trace.add('technician', technician_rate, TECHNICIAN_TOKENS)
+    trace.add('parts', constant(3), 0, 'service')
+    trace.add('quotation', constant(3), QUOTATION_TOKENS)
+    trace.add('report', constant(reports_per_s), REPORT_TOKENS)
 
 
 def _quiet(trace: _Trace) -> Scenario:
-    _mix(trace, flat(15), 0)
+    _add_classes(trace, constant(15), 0)
     return _finish('quiet', trace)
 
 
 def _drafts(trace: _Trace) -> Scenario:
-    _mix(trace, flat(15), 24)
+    _add_classes(trace, constant(15), 24)
     return _finish('drafts', trace)
 
 
 def _swing(trace: _Trace) -> Scenario:
-    _mix(trace, swing(20, 60), 20)
+    _add_classes(trace, ramp(20, 60), 20)
     return _finish('swing', trace)
 
 
 def _crest(trace: _Trace) -> Scenario:
-    trace.add('technician', pulse(10, 220, 10, 14), TOP_TOKENS)
+    trace.add('technician', pulse(10, 220, 10, 14), TECHNICIAN_TOKENS)
     trace.add('parts', pulse(3, 20, 10, 14), 0, 'service')
-    trace.add('quotation', pulse(3, 12, 10, 14), QUOTE_TOKENS)
-    trace.add('report', pulse(6, 20, 10, 14), DRAFT_TOKENS)
+    trace.add('quotation', pulse(3, 12, 10, 14), QUOTATION_TOKENS)
+    trace.add('report', pulse(6, 20, 10, 14), REPORT_TOKENS)
     return _finish('crest', trace)
 
 
 def _slowed(trace: _Trace) -> Scenario:
-    _mix(trace, flat(25), 8)
+    _add_classes(trace, constant(25), 8)
     events = []
     for turn, start in enumerate((4, 10, 16)):
         for offset in (0, 1):
@@ -167,7 +167,7 @@
 
 
 def _stragglers(trace: _Trace) -> Scenario:
-    _mix(trace, flat(20), 6)
+    _add_classes(trace, constant(20), 6)
     jobs = [
         Job(
             job.at_s,
@@ -177,7 +177,7 @@
             job.tokens * 20,
             job.prompt,
         )
-        if job.leaf == 'quotation' and trace.chance.random() < 0.3
+        if job.leaf == 'quotation' and trace.rng.random() < 0.3
         else job
         for job in trace.jobs
     ]
@@ -186,13 +186,13 @@
 
 
 def _one_class(trace: _Trace) -> Scenario:
-    _mix(trace, flat(20), 6)
-    trace.add('quotation', pulse(0, 60, 6, 12), QUOTE_TOKENS)
+    _add_classes(trace, constant(20), 6)
+    trace.add('quotation', pulse(0, 60, 6, 12), QUOTATION_TOKENS)
     return _finish('one-class', trace)
 
 
 def _crash(trace: _Trace) -> Scenario:
-    _mix(trace, flat(20), 8)
+    _add_classes(trace, constant(20), 8)
     events = (
         Event(8, 'engine-2', kill=True),
         Event(14, 'entry-2', kill=True),
@@ -201,7 +201,7 @@
 
 
 def _long_rush(trace: _Trace) -> Scenario:
-    _mix(trace, flat(320), 4)
+    _add_classes(trace, constant(320), 4)
     return _finish(
         'long-rush',
         trace,
--- a/bench/summary.py
+++ b/bench/summary.py
@@ -24,7 +24,7 @@
     return found
 
 
-def met(answer: Answer, class_settings: ClassSettings) -> bool:
+def meets_targets(answer: Answer, class_settings: ClassSettings) -> bool:
     """Tell whether an answer met the targets of its class."""
     if not answer.complete:
         return False
@@ -41,40 +41,46 @@
 
 def summarise(answers: Sequence[Answer], tree: Path) -> list[dict[str, Any]]:
     """Return one row per class, the most urgent first."""
-    known = load_class_settings(tree)
+    settings_by_class = load_class_settings(tree)
     rows = []
-    for leaf in sorted(known, key=lambda name: (known[name].tier, name)):
-        own = [answer for answer in answers if answer.leaf == leaf]
-        if own:
-            rows.append(_row(leaf, own, known[leaf]))
+    for leaf in sorted(
+        settings_by_class, key=lambda name: (settings_by_class[name].tier, name)
+    ):
+        class_answers = [answer for answer in answers if answer.leaf == leaf]
+        if class_answers:
+            rows.append(_row(leaf, class_answers, settings_by_class[leaf]))
     return rows
 
 
 def _row(
     leaf: str,
-    own: Sequence[Answer],
+    class_answers: Sequence[Answer],
     class_settings: ClassSettings,
 ) -> dict[str, Any]:
-    firsts = sorted(
+    first_times_ms = sorted(
         (answer.first_s - answer.sent_s) * 1000
-        for answer in own
+        for answer in class_answers
         if answer.complete
     )
-    codes = Counter(answer.code for answer in own if answer.code)
-    faults = Counter(answer.fault for answer in own if answer.fault)
-    complete = [answer for answer in own if answer.complete]
+    codes = Counter(answer.code for answer in class_answers if answer.code)
+    faults = Counter(answer.fault for answer in class_answers if answer.fault)
+    complete = [answer for answer in class_answers if answer.complete]
     return {
         'class': leaf,
         'tier': class_settings.tier,
-        'sent': len(own),
+        'sent': len(class_answers),
         'whole': len(complete),
-        'met': sum(met(answer, class_settings) for answer in own),
-        'attainment': sum(met(answer, class_settings) for answer in own)
-        / len(own),
+        'met': sum(
+            meets_targets(answer, class_settings) for answer in class_answers
+        ),
+        'attainment': sum(
+            meets_targets(answer, class_settings) for answer in class_answers
+        )
+        / len(class_answers),
         'tokens': sum(answer.tokens for answer in complete),
-        'first_ms_p50': quantile(firsts, 0.5),
-        'first_ms_p95': quantile(firsts, 0.95),
-        'first_ms_p99': quantile(firsts, 0.99),
+        'first_ms_p50': quantile(first_times_ms, 0.5),
+        'first_ms_p95': quantile(first_times_ms, 0.95),
+        'first_ms_p99': quantile(first_times_ms, 0.99),
         'codes': {str(code): count for code, count in codes.items()},
         'faults': dict(faults),
     }
