--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,4 @@
-"""Drive real processes: the demo, the experiments and the chaos runs."""
+"""Load tool: demo, experiments, chaos runs and capacity measurements.
+
+It runs deployments of real processes on this machine.
+"""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run the demo or an experiment: ``python -m bench COMMAND``."""
+"""Command line of the load tool: ``python -m bench COMMAND``."""
 
 import sys
 from pathlib import Path
@@ -16,12 +16,12 @@
 )
 from bench.demo import demo
 
-app = App(name='bench', help='Drive real processes and measure them.')
+app = App(name='bench', help='Load, fault and capacity runs on real processes.')
 
 
 @app.command(name='demo')
 def demo_command() -> None:
-    """Show both example deployments under a small mixed load."""
+    """Run both example deployments under a small mixed load."""
     sys.exit(1 if demo() else 0)
 
 
@@ -35,20 +35,20 @@
     trace: Path | None = None,
     source: str = '',
 ) -> None:
-    """Run one scenario under one policy."""
+    """Run one scenario under one policy and print its report."""
     report = experiment.run(scenario, policy, seed, instances, trace, source)
     experiment.show(report)
 
 
 @app.command(name='overhead')
 def overhead_command() -> None:
-    """Measure what the path adds over a direct call."""
+    """Measure what an entry adds to a direct call."""
     overhead.show(overhead.measure())
 
 
 @app.command(name='decision')
 def decision_command() -> None:
-    """Measure what one decision about a prompt costs."""
+    """Measure how long it takes to place one prompt."""
     decision.show()
 
 
@@ -59,7 +59,7 @@
     minutes: float = 1.0,
     broken: str = '',
 ) -> None:
-    """Break a deployment at random and check every promise."""
+    """Inject random faults under load and check all guarantees."""
     result = chaos.chaos(seed, minutes, broken)
     chaos.show(result)
     sys.exit(1 if result.violations else 0)
@@ -67,7 +67,7 @@
 
 @app.command(name='capacity')
 def capacity_command(*, page_only: bool = False) -> None:
-    """Measure the slopes and write the capacity page."""
+    """Measure the cost of each part and write the capacity page."""
     if not page_only:
         capacity.measure()
     capacity_page.write()
@@ -75,7 +75,7 @@
 
 @app.command(name='report')
 def report_command() -> None:
-    """Draw and list the runs in build/bench."""
+    """Write a page with plots of the runs in build/bench."""
     sys.stdout.write(f'{report.report()}\n')
 
 
--- a/bench/bound.py
+++ b/bench/bound.py
@@ -1,10 +1,12 @@
-"""Bound what any policy could reach, from lengths known beforehand.
+"""Offline upper bound on the attainment of any scheduling policy.
 
-One scheduler sees all requests; each engine has a number of slots whose
-tokens take the time of a full batch. An upper tier takes a lower tier's slot
-at once and without cost. A request that would be late is not run at all, so
-that it costs the others nothing. This is a bound for one class of equal
-targets up to the order of the jobs, and a near one for a mix.
+One scheduler sees all requests and knows the length of each answer. Each
+engine has a fixed number of slots, whose tokens take as long as in a full
+batch. An upper tier preempts a slot of a lower tier immediately and without
+cost. A request that would be late is not run at all, so that it does not delay
+others. Requests are served in the order of their arrival. Apart from that order
+this is a true bound for a single class with equal targets; for a mix of classes
+it is approximate.
 """
 
 import heapq
@@ -21,7 +23,10 @@
 
 
 def bound_attainment(jobs: Sequence[Job], plan: Plan) -> dict[str, float]:
-    """Return the attainment that cannot be passed, by class."""
+    """Return the highest possible fraction of requests in target, by class.
+
+    Only classes of engine pools that have requests are contained.
+    """
     settings_by_class = load_class_settings(plan.tree)
     token_s = (STEP_MS + SEQUENCE_MS * SLOTS) / 1000
     slots = SLOTS * len(plan.engines)
@@ -32,7 +37,8 @@
             by_tier[settings_by_class[job.leaf].tier].append(job)
     considered: list[Job] = []
     for tier in sorted(by_tier):
-        # With free preemption a tier sees only itself and those above.
+        # Preemption costs nothing, so that only requests of this tier and of
+        # the tiers above it compete for slots.
         considered = sorted(
             (*considered, *by_tier[tier]), key=lambda job: job.at_s
         )
--- a/bench/broken.py
+++ b/bench/broken.py
@@ -1,7 +1,7 @@
-"""Run the command line with one safeguard taken out.
+"""Product command line with one safeguard disabled.
 
-``python -m bench.broken NAME serve ...`` shows that the chaos run notices
-when the safeguard of that name is missing.
+``python -m bench.broken NAME serve ...`` starts an entry without the safeguard
+of that name, to show that the chaos run detects its absence.
 """
 
 import sys
@@ -20,7 +20,7 @@
 
 
 def break_crossed() -> None:
-    """Pass on events whatever request they are for."""
+    """Forward stream events of other requests."""
     original_init = TokenStreamParser.__init__
 
     def init_with_weak_marker(self, marker: bytes) -> None:
@@ -30,35 +30,35 @@
 
 
 def break_once() -> None:
-    """Retry calls that may not be repeated."""
+    """Retry calls that are not idempotent."""
     RequestRun._check_may_retry = lambda self, error: None
 
 
 def break_claims() -> None:
-    """Run without asking whether the key was claimed."""
+    """Run requests without checking whether their key is claimed."""
 
     async def make(self, call) -> HeldClaim:
         claim = Claim('none', call.digest, ClaimState.open, 0)
         return HeldClaim('claims/none', claim, 0)
 
     async def settle(self, *args) -> None:
-        """Write nothing."""
+        """Leave the claim store unchanged."""
 
     Claims.make = make
     Claims.settle = settle
 
 
 def break_drain() -> None:
-    """Stop without waiting for open requests."""
+    """Exit without waiting for open requests."""
 
     async def drain(self) -> None:
-        """Wait for nothing."""
+        """Return at once."""
 
     Relay.drain = drain
 
 
 def break_versions() -> None:
-    """Put any version in force, a lower one too."""
+    """Put any received version in force, even a lower one."""
 
     def adopt_if_newer(self, version) -> bool:
         self._current = version
@@ -68,7 +68,7 @@
 
 
 def break_resume() -> None:
-    """Resume every stream from its start."""
+    """Resume interrupted streams from their first token."""
     TokenStreamParser.tokens = property(
         lambda self: 0,
         lambda self, count: None,
@@ -76,7 +76,7 @@
 
 
 def break_leaving() -> None:
-    """Give work to leaving backend servers."""
+    """Grant slots of backend servers that are leaving."""
 
     def free_slots(self, now_s: float) -> int:
         return self.limit.slots - self.running
@@ -85,7 +85,7 @@
 
 
 def break_whole() -> None:
-    """Take a stream that broke off for whole."""
+    """Treat an interrupted stream as complete."""
 
     def take_failure(self, error) -> None:
         self._connection = None
@@ -96,7 +96,7 @@
 
 
 def break_truth() -> None:
-    """Say of every failed request that it was not run."""
+    """Report every failed request as not run."""
     RequestRun.ran = property(
         lambda self: Ran.not_run,
         lambda self, ran: None,
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Measure the slopes from which the capacity page is worked out."""
+"""Measurements from which the capacity page is derived."""
 
 import asyncio
 import gc
@@ -65,7 +65,7 @@
 
 
 def measure() -> dict[str, Any]:
-    """Run every measurement and write the page's figures."""
+    """Run all measurements and write the figures of the capacity page."""
     figures = {
         'relay': _measure_relay(),
         'broker_waiting': _measure_sizes(
@@ -119,7 +119,13 @@
 
 
 def _measure_broker(waiting: int, servers: int, tiers: int) -> list[float]:
-    """Return the processor time of one ticket in a broker, in us."""
+    """Return the processor time of one ticket in a broker, in us.
+
+    A ticket is opened, granted and released while all slots are taken.
+
+    :param waiting: tickets in the queue.
+    :returns: one figure for each run.
+    """
     limit = LimitPolicy(
         start=1 if servers > GROUP_SIZE else 8, minimum=1, maximum=8
     )
@@ -187,7 +193,7 @@
 
 
 def _measure_members() -> dict[str, dict[str, Any]]:
-    """Return what heartbeats cost one member, by number of members."""
+    """Return the cost of heartbeats per member, by number of members."""
     return {str(count): _member_costs(count) for count in MEMBER_COUNTS}
 
 
@@ -251,7 +257,10 @@
     event: Any,
     now_s: float,
 ) -> tuple[int, int]:
-    """Apply an event and all that follows; return bytes and packets."""
+    """Apply an event, deliver all packets that it causes and count them.
+
+    :returns: bytes on the wire with UDP and IP headers, and packets.
+    """
     sent = 0
     packets = 0
     waiting = [(sender, event)]
@@ -318,7 +327,7 @@
 
 
 def _measure_session() -> dict[str, Any]:
-    """Return what one ticket costs over a broker session, both ends."""
+    """Return the cost of a ticket and of an idle session, for both ends."""
     figures = [asyncio.run(_session_run()) for _ in range(RUNS)]
     return {
         'ticket_cpu_us': _summary([sample[0] for sample in figures]),
@@ -328,15 +337,18 @@
 
 
 class _StubState:
-    """Answer nothing to peers."""
+    """State without a tree, for a peer server."""
 
     def tree_newer_than(self, number: int) -> tuple[int, str]:
-        """Return no newer tree."""
+        """Return the given version number without a tree."""
         return number, ''
 
 
 class _TicketLoop:
-    """Count the grants of one desk and release each at once."""
+    """Ticket listener that releases each grant and opens the next ticket.
+
+    :param total: tickets after which ``done`` is set.
+    """
 
     def __init__(self, broker_client: BrokerClient, total: int) -> None:
         self.broker_client = broker_client
@@ -344,13 +356,13 @@
         self.done = asyncio.get_running_loop().create_future()
 
     def ask(self, number: int) -> None:
-        """Open a ticket."""
+        """Open the ticket of a number."""
         self.name = f'entry-1-1796000000000-{number}.0'
         opened = _open_event(self.name, 0)
         self.broker_client.ask(opened.ticket, self)
 
     def granted(self, server: str) -> None:
-        """Release and ask again."""
+        """Release the grant and open the next ticket, if any is left."""
         self.broker_client.release(self.name, failed=False)
         self.remaining -= 1
         if self.remaining:
@@ -391,7 +403,7 @@
 
 
 def _ticket_bytes() -> int:
-    """Return the bytes of a ticket's three messages with their frames."""
+    """Return the bytes of the three messages of a ticket with their frames."""
     opened = _open_event('entry-1-1796000000000-1234567.0', 3)
     released = GrantReleased(opened.ticket.ticket_id)
     granted = Granted(opened.ticket.ticket_id, 'entry-1', 'engine-12')
@@ -400,7 +412,7 @@
         encode_event(released, 0.0).ByteSize(),
         encode_command(granted).ByteSize(),
     )
-    # Batch and gRPC prefix, HTTP/2 frame, TLS record, TCP and IP.
+    # Headers of batch and gRPC, HTTP/2 frame, TLS record, TCP and IP.
     frames = (25 + 9 + 22 + 52) * len(messages)
     return sum(messages) + frames
 
@@ -419,7 +431,7 @@
 
 
 def _measure_counts() -> dict[str, Any]:
-    """Return what the counts of one class and second cost."""
+    """Return size and encoding time of the counts of one class and second."""
     book = CountBook()
     for number in range(200):
         outcome = Outcome(f'workspace-{number}/counter', met=True, first_ms=90)
@@ -436,7 +448,7 @@
 
 
 def _measure_process() -> dict[str, Any]:
-    """Return what an idle entry uses, with two peers."""
+    """Return memory, threads and processor time of an idle entry."""
     with overhead.running(overhead.plan()) as cluster:
         time.sleep(2)
         pid = cluster.entries[0].process.pid
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -1,4 +1,8 @@
-"""Write the capacity page from the measured figures."""
+"""Capacity page, derived from the measured figures.
+
+The constants are the target size of the deployment, the budgets for control
+traffic and the limits of the object store; the page explains them.
+"""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -34,13 +38,13 @@
 
 
 def render(figures: Mapping[str, Any]) -> str:
-    """Return the page for a set of figures."""
+    """Return the text of the page for the figures of ``capacity.measure``."""
     values = _template_values(figures)
     return Template(TEMPLATE.read_text()).substitute(values)
 
 
 def write() -> None:
-    """Write the page from the committed figures."""
+    """Write the page for the figures in ``docs/capacity.json``."""
     PAGE.write_text(render(orjson.loads(FIGURES.read_bytes())))
 
 
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -1,4 +1,4 @@
-"""Break a deployment at random under load, and check every promise."""
+"""Chaos runs: random faults under load, then a check of all guarantees."""
 
 import asyncio
 import random
@@ -34,10 +34,16 @@
 
 
 class ChaosRun:
-    """Own one chaos run."""
+    """One chaos run and what was observed in it.
+
+    Faults and load draw from separate random generators.
+    """
 
     def __init__(self, cluster: Cluster, seed: int, seconds: float) -> None:
-        """Start with everything healthy."""
+        """Start without faults.
+
+        :param seconds: time during which load is sent.
+        """
         self._cluster = cluster
         self._rng = random.Random(seed)
         self._load_rng = random.Random(seed + 1)
@@ -51,7 +57,10 @@
         self.injected: Counter[str] = Counter()
 
     async def run(self) -> None:
-        """Load, break and watch for the whole time."""
+        """Send load and inject faults, then collect the logs.
+
+        Open requests are awaited after all faults are cleared.
+        """
         start_s = time.monotonic()
         sampling = asyncio.ensure_future(self._sample_entries())
         injecting = asyncio.ensure_future(self._inject_faults(start_s))
@@ -154,7 +163,7 @@
         running_faults: set[asyncio.Task] = set()
         while time.monotonic() - start_s < self._seconds - FAULT_FREE_END_S:
             if not pending:
-                # Each kind comes once before any comes again.
+                # Each fault in the list is injected once before any repeats.
                 pending = self._rng.sample(faults, len(faults))
             fault = pending.pop()
             self.injected[fault.__name__.strip('_')] += 1
@@ -164,13 +173,16 @@
             task = asyncio.ensure_future(fault())
             running_faults.add(task)
             task.add_done_callback(running_faults.discard)
-            # Now and then two faults come together.
+            # A pause of 0 injects two faults at the same time.
             await asyncio.sleep(self._rng.choice((0.0, 0.7, 1.5, 3.0)))
         if running_faults:
             await asyncio.wait(running_faults)
 
     def _withdraw_entry(self) -> Entry | None:
-        """Take an entry out of use, but never the last few."""
+        """Withdraw a random entry from the load.
+
+        :returns: the entry, or None if only half of the entries are left.
+        """
         if len(self._available) <= ENTRIES // 2:
             return None
         number = self._rng.choice(sorted(self._available))
@@ -217,7 +229,7 @@
         if entry.process.returncode != 0:
             code = entry.process.returncode
             self.observations.unclean_stops.append(
-                f'{entry.name} ended with {code}'
+                f'{entry.name} exited with code {code} after SIGTERM'
             )
         await self._restart(entry)
 
@@ -308,7 +320,7 @@
         await self._configure_store({'stale_reads': 0})
 
     async def _edit_tree(self) -> None:
-        """Let two operators edit at once, at two instances."""
+        """Propose two edits at the same time, at different instances."""
         entries = [
             self._cluster.entries[number]
             for number in self._rng.sample(sorted(self._available), 2)
@@ -385,7 +397,7 @@
         )
 
     async def _collect_engine_log(self, name: str) -> None:
-        """Keep what an engine logged, before it is lost."""
+        """Record the runs of an engine, whose log ends with its process."""
         try:
             log = await asyncio.to_thread(self._cluster.read, name, '/log')
         except Exception:
@@ -414,7 +426,13 @@
 
 @dataclass(slots=True)
 class ChaosResult:
-    """Hold what a chaos run found."""
+    """Result of a chaos run.
+
+    :param injected: how often each fault was injected.
+    :param checks: number of checks of each kind.
+    :param violations: one sentence for each broken guarantee.
+    :param memory: memory growth, as a sentence.
+    """
 
     seed: int
     injected: dict[str, int]
@@ -426,7 +444,13 @@
 def chaos(
     seed: int, minutes: float, disabled_safeguard: str = ''
 ) -> ChaosResult:
-    """Run and judge; write a trace where a promise was broken."""
+    """Run a deployment under faults and check its guarantees.
+
+    Faults, violations and answers are written to
+    ``build/bench/chaos-SEED.json``.
+
+    :param disabled_safeguard: key of ``bench.broken.BREAKS``, empty for none.
+    """
     services = {f'app-{number}': {'work_ms': 150} for number in range(1, 4)}
     plan = deployment(
         DEPLOYMENT,
@@ -446,7 +470,7 @@
 
 
 def show(result: ChaosResult) -> None:
-    """Print faults, checks and violations."""
+    """Print faults, checks, memory growth and the first 20 violations."""
     write = sys.stdout.write
     faults = ', '.join(
         f'{name} {count}' for name, count in sorted(result.injected.items())
--- a/bench/chaos_checks.py
+++ b/bench/chaos_checks.py
@@ -1,4 +1,4 @@
-"""Judge the evidence of a chaos run."""
+"""Checks of the guarantees on the observations of a chaos run."""
 
 import statistics
 import time
@@ -11,20 +11,31 @@
 LEAVE_GRACE_S = 3.0
 INSTANCE_LIST_LAG_S = 1.0
 CLOCK_TOLERANCE_S = 1.0
-# Stock is asked for again where a call broke off; orders never are.
+# Part of the body of calls that must run at most once. Calls of the class
+# "stock" are retried after a broken connection, those of "order" never are.
 NON_IDEMPOTENT_BODY = '"class":"order"'
 
 
 @dataclass(slots=True)
 class Observations:
-    """Collect what callers, instances and back ends saw.
-
-    :param answers: entry, job and answer of each try.
-    :param versions: entry, process and version in force, sample by sample.
-    :param killed: entry and time of each kill.
-    :param stopped: entry and time of each graceful stop.
-    :param leaving: engine, start and end of each leave, by the wall clock.
-    :param edits: number, workspace and level of each accepted edit.
+    """Observations of callers, instances and backend servers.
+
+    :param answers: entry, job and answer of each attempt.
+    :param versions: entry, process id and tree version in force, for each
+        sample.
+    :param killed: entry and monotonic time of each kill.
+    :param stopped: entry and monotonic time of each graceful stop.
+    :param unclean_stops: one sentence for each graceful stop that failed.
+    :param leave_windows: engine, start and end of each time on the instance
+        list as leaving, by the wall clock; the end is infinite while it lasts.
+    :param edits: tree version, workspace and ``max_wait_ms`` of each accepted
+        edit.
+    :param engine_runs: wall-clock start of each run, by engine, request id,
+        index of the attempt and start.
+    :param service_runs: body of each call that a plain service ran.
+    :param final_tree: tree in force after the run.
+    :param fault_log: seconds since the start and name of each fault.
+    :param memory: samples of resident memory in KB, by entry and process id.
     """
 
     answers: list[tuple[str, Job, Answer]] = field(default_factory=list)
@@ -41,7 +52,7 @@
     memory: dict[tuple[str, int], list[int]] = field(default_factory=dict)
 
     def is_leaving(self, name: str) -> bool:
-        """Tell whether an engine is leaving now."""
+        """Return whether an engine is listed as leaving now."""
         now_s = time.time()
         return any(
             window[0] == name and window[2] >= now_s
@@ -49,7 +60,11 @@
         )
 
     def was_killed(self, entry: str, answer: Answer) -> bool:
-        """Tell whether an entry was killed while a request was open."""
+        """Return whether an entry was killed while a request was open.
+
+        The request counts as open from ``CLOCK_TOLERANCE_S`` before it was
+        sent.
+        """
         return any(
             name == entry
             and answer.sent_s - CLOCK_TOLERANCE_S <= time_s <= answer.end_s
@@ -60,7 +75,7 @@
 def find_violations(
     observations: Observations,
 ) -> tuple[dict[str, int], list[str]]:
-    """Return how many checks were made by kind, and what was violated."""
+    """Return the number of checks of each kind, and the violations."""
     checks = {
         'answers': len(observations.answers),
         'service runs': len(observations.service_runs),
@@ -88,11 +103,13 @@
         if answer.fault in {'crossed', 'doubled', 'disordered'}:
             found.append(f'{request}: {answer.fault}')
         elif answer.fault == 'no answer: TimeoutError':
-            found.append(f'{request}: no end')
+            found.append(f'{request}: not answered before the time-out')
         elif answer.fault == 'cut' and not observations.was_killed(
             entry, answer
         ):
-            found.append(f'{request}: cut though its entry was not killed')
+            found.append(
+                f'{request}: truncated though its entry was not killed'
+            )
     return found
 
 
@@ -114,9 +131,9 @@
         )
         reported_not_run = all(answer.ran == 'no' for answer in answers)
         if ran and reported_not_run:
-            found.append(f'order {number} ran, told not run')
+            found.append(f'order {number} ran but was reported as not run')
         if not ran and any(answer.complete for answer in answers):
-            found.append(f'order {number} answered, never ran')
+            found.append(f'order {number} was answered but did not run')
     return found
 
 
@@ -125,13 +142,17 @@
     found = []
     for entry, pid, version in observations.versions:
         if version < highest.get((entry, pid), 0):
-            found.append(f'{entry} went back to version {version}')
+            found.append(f'{entry} returned to the lower version {version}')
         highest[entry, pid] = max(version, highest.get((entry, pid), 0))
     return found
 
 
 def _check_edits(observations: Observations) -> list[str]:
-    """The last accepted edit of each workspace must hold in the end."""
+    """Check version numbers and the survival of accepted edits.
+
+    Each version number belongs to one edit, and the last accepted edit is
+    contained in the final tree.
+    """
     last_edits: dict[str, tuple[int, int]] = {}
     for number, name, max_wait_ms in observations.edits:
         last_edits[name] = max(
@@ -139,7 +160,7 @@
         )
     numbers = Counter(number for number, _, _ in observations.edits)
     found = [
-        f'version {number} was told to {count} operators'
+        f'version {number} was confirmed to {count} operators'
         for number, count in numbers.items()
         if count > 1
     ]
@@ -147,7 +168,7 @@
         branch = observations.final_tree['workspaces'][name]
         final_max_wait_ms = branch['classes']['summary'].get('max_wait_ms')
         if final_max_wait_ms != max_wait_ms and number == max(numbers):
-            found.append(f'edit {number} of {name} is lost')
+            found.append(f'edit {number} of workspace {name} is lost')
     return found
 
 
@@ -160,19 +181,22 @@
             if key[0] == name
             and start_s + INSTANCE_LIST_LAG_S + LEAVE_GRACE_S < time_s < end_s
         ]
-        found.extend(f'{name} got {key[1]} after leaving' for key in late_runs)
+        found.extend(f'{name} ran {key[1]} after it left' for key in late_runs)
     return found
 
 
 def memory_growth(observations: Observations) -> str:
-    """Tell the memory of the longest-lived process, early and late."""
+    """Return the memory growth of the most sampled process, as a sentence.
+
+    The medians of the middle and the last third of its samples are compared.
+    """
     longest = max(observations.memory.values(), key=len, default=[])
     third = len(longest) // 3
     if not third:
         return 'memory: too few samples'
     early = statistics.median(longest[third : 2 * third]) / 1024
-    late_runs = statistics.median(longest[-third:]) / 1024
+    late = statistics.median(longest[-third:]) / 1024
     return (
         f'memory of the longest-lived process over {len(longest)} samples: '
-        f'middle third {early:.1f} MB, last third {late_runs:.1f} MB'
+        f'middle third {early:.1f} MB, last third {late:.1f} MB'
     )
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -1,4 +1,8 @@
-"""Start a deployment as real processes: platform, back ends, entries."""
+"""Deployments of real processes: platform, backend servers, entries.
+
+The platform and the backend servers are emulated by ``standins``; the entry
+instances run the product.
+"""
 
 import itertools
 import os
@@ -26,8 +30,8 @@
 POLL_INTERVAL_S = 0.05
 BUILD = Path('build')
 UDP = socket.SOCK_DGRAM
-# Each driver has loopback addresses of its own, so that one never takes a port
-# that another's restarting process has just left.
+# Each driver process uses its own loopback addresses, so that it never takes a
+# port that a process of another driver released for a restart.
 NETWORK = f'127.{10 + os.getpid() % 200}.{os.getpid() // 200 % 250}'
 HOST = f'{NETWORK}.1'
 MIN_PORT = 12_000
@@ -42,17 +46,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Describe a deployment.
+    """Description of a deployment.
 
     :param tree: YAML file of the settings tree.
     :param entries: number of entry instances.
-    :param engines: options of each engine, by name.
-    :param services: options of each plain service, by name.
+    :param engines: ``EngineOptions`` of each engine, by name.
+    :param services: ``ServiceOptions`` of each plain service, by name.
+    :param platform: ``PlatformOptions`` that differ from their defaults.
+    :param zones: availability zones, assigned to the entries in turn.
     :param proxied: whether entries reach each other, the platform and the
-        back ends through fault-injecting proxies.
-    :param flags: more flags for each entry.
-    :param source: sources of another version of the product.
-    :param broken: safeguard that the entries run without.
+        backend servers through fault-injecting proxies.
+    :param flags: additional flags for each entry.
+    :param source: source folder of another version of the product, empty for
+        the installed one.
+    :param disabled_safeguard: key of ``bench.broken.BREAKS`` for the safeguard
+        that the entries run without, empty for none.
     """
 
     tree: Path
@@ -69,7 +77,12 @@
 
 @dataclass(slots=True)
 class Entry:
-    """Hold one entry instance."""
+    """One entry instance and its addresses.
+
+    :param announced_peers: address of the proxy in front of ``peers``, empty
+        without proxies.
+    :param process: the running process, None until it is started.
+    """
 
     name: str
     zone: str
@@ -81,10 +94,13 @@
 
 
 class Cluster:
-    """Own the processes of one deployment."""
+    """Processes of one deployment.
+
+    Their output is appended to ``build/logs``, one file for each process.
+    """
 
     def __init__(self, plan: Plan) -> None:
-        """Choose the addresses; nothing is started yet."""
+        """Choose the addresses of the entries without starting a process."""
         self.plan = plan
         self.http = urllib3.PoolManager(maxsize=16, retries=False)
         self.keys: dict[str, str] = {}
@@ -101,14 +117,17 @@
 
     @property
     def operators(self) -> str:
-        """Return the operators' side of the first running entry."""
+        """Operator address of the first running entry."""
         for entry in self.entries:
             if entry.process is not None and entry.process.poll() is None:
                 return entry.operators
         return self.entries[0].operators
 
     def start(self) -> None:
-        """Start everything and wait until all entries are ready."""
+        """Start all processes and wait until all entries are ready.
+
+        :raises TimeoutError: if a process does not answer in time.
+        """
         self._start_standin('platform', self.platform, self.plan.platform)
         pools = _pools(self.plan.tree)
         for name, options in self.plan.engines.items():
@@ -128,7 +147,7 @@
         self.wait_members(len(self.entries))
 
     def restart_engine(self, name: str) -> None:
-        """Start an engine anew at its address."""
+        """Start an engine that was killed, at its earlier address."""
         pools = _pools(self.plan.tree)['engine']
         merged_options = {'name': name, **self.plan.engines[name]}
         merged_options.setdefault(
@@ -139,7 +158,7 @@
         )
 
     def start_entry(self, entry: Entry) -> None:
-        """Start one entry instance."""
+        """Start the process of an entry without waiting until it is ready."""
         flags = {
             'name': entry.name,
             'zone': entry.zone,
@@ -162,7 +181,7 @@
         entry.process = self._spawn(entry.name, command)
 
     def apply_tree(self) -> None:
-        """Make a key for each workspace and put the tree in force."""
+        """Put the tree of the plan in force, with a new key per workspace."""
         tree = tree_mapping(parse_tree(self.plan.tree.read_text()))
         for name, branch in tree['workspaces'].items():
             self.keys[name], entry = make_key()
@@ -176,7 +195,10 @@
         self.propose(tree, 0)
 
     def propose(self, tree: Any, base: int) -> dict[str, Any]:
-        """Propose a tree; return what the instance answered."""
+        """Propose a tree and return the answer of the instance.
+
+        :param base: version that the tree is based on.
+        """
         body = orjson.dumps({'base': base, 'tree': tree, 'author': 'bench'})
         return self.call_operator_api('PUT', '/tree', body)
 
@@ -187,7 +209,10 @@
         body: bytes = b'',
         operators: str = '',
     ) -> Any:
-        """Call a page of the operators' side."""
+        """Call the operator API and return the parsed JSON answer.
+
+        :param operators: address, by default that of the first running entry.
+        """
         answer = self.http.request(
             method,
             f'http://{operators or self.operators}{path}',
@@ -198,13 +223,17 @@
         return answer.json()
 
     def status(self, entry: Entry) -> dict[str, Any]:
-        """Return what an entry says that holds."""
+        """Return the status document of an entry."""
         return self.call_operator_api(
             'GET', '/status', operators=entry.operators
         )
 
     def order(self, name: str, order: Mapping[str, Any], path: str) -> Any:
-        """Give an order to a stand-in."""
+        """Post a command to a stand-in and return its answer.
+
+        :param name: name of a backend server; any other goes to the platform.
+        :param order: JSON body of the command.
+        """
         address = self.addresses.get(name, self.platform)
         answer = self.http.request(
             'POST',
@@ -215,7 +244,11 @@
         return answer.json()
 
     def fault(self, **order: Any) -> Any:
-        """Give an order to the fault-injecting proxies."""
+        """Post a command to the fault-injecting proxies.
+
+        :param order: ``kind`` of the command, ``name`` of the proxy (all
+            proxies without it) and the fields of the fault.
+        """
         answer = self.http.request(
             'POST',
             f'http://{self.proxy_api}/',
@@ -225,13 +258,16 @@
         return answer.json()
 
     def read(self, name: str, path: str) -> Any:
-        """Read a page of a stand-in."""
+        """Return the JSON document at a path of a stand-in.
+
+        :param name: name of a backend server; any other reads the platform.
+        """
         address = self.addresses.get(name, self.platform)
         answer = self.http.request('GET', f'http://{address}{path}', timeout=10)
         return answer.json()
 
     def register_entries(self) -> None:
-        """Put the entries on the platform's list."""
+        """Add the entries to the instance list of the platform."""
         self.order(
             'platform',
             [
@@ -249,12 +285,12 @@
         )
 
     def kill(self, process: subprocess.Popen) -> None:
-        """Kill a process at once."""
+        """Kill a process with SIGKILL and wait for its end."""
         process.send_signal(signal.SIGKILL)
         process.wait()
 
     def stop(self) -> None:
-        """Kill everything."""
+        """Kill all processes with SIGKILL and wait for their end."""
         processes = list(self.processes.values())
         for process in processes:
             if process.poll() is None:
@@ -263,11 +299,14 @@
             process.wait()
 
     def via_proxy(self, name: str, address: str) -> str:
-        """Return the address under which others reach a part."""
+        """Return the proxy address of a process, its own without a proxy."""
         return self._routes[name][0] if name in self._routes else address
 
     def wait_http(self, address: str, path: str) -> None:
-        """Wait until a page answers with 200."""
+        """Wait until a GET request is answered with status 200.
+
+        :raises TimeoutError: after ``READY_TIMEOUT_S``.
+        """
         deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             try:
@@ -283,11 +322,15 @@
                 return
             time.sleep(POLL_INTERVAL_S)
         raise TimeoutError(
-            f'{address}{path} did not answer in {READY_TIMEOUT_S} s'
+            f'{address}{path} did not answer with status 200 within '
+            f'{READY_TIMEOUT_S} s'
         )
 
     def wait_members(self, count: int) -> None:
-        """Wait until all entries see each other."""
+        """Wait until each entry sees a number of live instances.
+
+        Returns without an error after ``READY_TIMEOUT_S``.
+        """
         deadline = time.monotonic() + READY_TIMEOUT_S
         for entry in self.entries:
             while time.monotonic() < deadline:
@@ -386,7 +429,7 @@
 
 @contextmanager
 def running(plan: Plan) -> Generator[Cluster, None, None]:
-    """Run a deployment and kill it in the end."""
+    """Start a deployment and kill it on leaving the context."""
     cluster = Cluster(plan)
     try:
         cluster.start()
@@ -396,7 +439,10 @@
 
 
 def deployment(name: str, entries: int, **changes: Any) -> Plan:
-    """Return the plan of one of the example deployments."""
+    """Return the plan of one of the example deployments.
+
+    :param changes: fields of the plan that differ from the example.
+    """
     engines, services = (5, 3) if name == 'fieltro-lanera' else (6, 3)
     plan = Plan(
         tree=Path('examples') / f'{name}.yaml',
@@ -408,10 +454,12 @@
 
 
 def free_address(host: str = HOST) -> str:
-    """Return an address that nothing listens on.
+    """Return an address whose TCP and UDP ports are both unused.
+
+    The port is below the ephemeral port range of the kernel, so that no
+    outgoing connection takes it before its listener starts.
 
-    It lies below the ports that the kernel gives to outgoing connections, so
-    that none of these takes it before its listener starts.
+    :raises RuntimeError: if no port is free.
     """
     for port in _PORTS:
         with socket.socket() as tcp, socket.socket(type=UDP) as udp:
@@ -421,7 +469,7 @@
             except OSError:
                 continue
         return f'{host}:{port}'
-    raise RuntimeError('no free port')
+    raise RuntimeError('no free port between MIN_PORT and MAX_PORT')
 
 
 def _pools(tree: Path) -> dict[str, dict[str, Any]]:
--- a/bench/decision.py
+++ b/bench/decision.py
@@ -1,4 +1,4 @@
-"""Measure what one decision about a prompt costs, without a network."""
+"""Duration of one placement decision of the broker, without a network."""
 
 import statistics
 import sys
@@ -22,17 +22,17 @@
 SHARED_TOKENS = 13_300
 UNIQUE_TOKENS = 3700
 KV_CACHE_TOKENS = 600_000
-REQUEST_INTERVAL_S = 0.1  # between two requests, so that none waits
-FIRST_UNIQUE_KEY = 10_000  # keys above those of the shared parts
+REQUEST_INTERVAL_S = 0.1  # interval at which no request waits
+FIRST_UNIQUE_KEY = 10_000  # above the keys of the shared parts
 US_PER_S = 1_000_000
 TIERS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionCost:
-    """Hold what one decision took.
+    """Durations of placement decisions.
 
-    :param servers: how many could be chosen.
+    :param servers: backend servers to choose from.
     """
 
     servers: int
@@ -41,7 +41,7 @@
 
 
 def measure(servers: int) -> DecisionCost:
-    """Place prompts one after the other and time each decision."""
+    """Place prompts one after another and measure each decision."""
     broker = _broker(servers)
     durations_us = []
     for number in range(REQUESTS):
@@ -57,7 +57,7 @@
 
 
 def show() -> None:
-    """Print the cost for each size of a group."""
+    """Print the durations for each group size."""
     for servers in SERVER_COUNTS:
         cost = measure(servers)
         sys.stdout.write(
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""Show both example deployments under a small mixed load."""
+"""Demonstration of both example deployments under a small mixed load."""
 
 import random
 import sys
@@ -15,7 +15,10 @@
 
 
 def demo() -> int:
-    """Run both deployments and return the number of broken answers."""
+    """Run both deployments and print a table for each.
+
+    :returns: number of faulty answers and of calls that ran more than once.
+    """
     broken = 0
     for name, classes in (
         (
@@ -71,7 +74,7 @@
 
 
 def number_jobs(jobs: list[Job]) -> list[Job]:
-    """Return jobs in the order of their times, each with its number."""
+    """Return the jobs sorted by send time and numbered in this order."""
     ordered = sorted(jobs, key=lambda job: job.at_s)
     return [
         Job(
@@ -89,7 +92,10 @@
 
 
 def discover_target(cluster: Cluster, seed: int = 0) -> Target:
-    """Return where callers of a cluster connect, as they are told."""
+    """Return the target that ``/address`` and ``/v1/models`` of a cluster give.
+
+    Each entry is asked for an address in its own availability zone.
+    """
     addresses = []
     for entry in cluster.entries:
         answer = cluster.http.request(
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,4 +1,4 @@
-"""Run one scenario under one policy and report it."""
+"""Experiments: one scenario under one scheduling policy."""
 
 import asyncio
 import sys
@@ -36,10 +36,16 @@
     trace: Path | None = None,
     source: str = '',
 ) -> dict[str, Any]:
-    """Run a scenario and return its report.
+    """Run a scenario, save its files and return its report.
 
-    :param trace: replay this trace in place of a newly made one.
-    :param source: sources of another version of the product.
+    The report, the trace and the answers are written to ``build/bench``.
+
+    :param name: name of the scenario.
+    :param policy: key of ``POLICY_DECISIONS``.
+    :param instances: number of entry instances.
+    :param trace: file of a recorded trace to replay in place of a generated
+        one.
+    :param source: source folder of another version of the product.
     """
     scenario = build(name, seed)
     if trace is not None:
@@ -71,7 +77,7 @@
 
 
 def show(report: dict[str, Any]) -> None:
-    """Print a report."""
+    """Print a report to the standard output."""
     sys.stdout.write(
         f'\n{report["scenario"]}, {report["policy"]}, seed {report["seed"]}, '
         f'{report["instances"]} instances: wasted '
@@ -171,7 +177,10 @@
 def _count_top_tier_sheds(
     answers: list[Answer], rows: list[dict[str, Any]]
 ) -> int:
-    """Count sheds of an upper tier that named a lower one's favour."""
+    """Count top-tier requests refused with ``shed_for_upper_tier`` (2003).
+
+    No tier is above theirs, so each of these refusals is a fault.
+    """
     return sum(
         answer.code == 2003
         for answer in answers
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,9 @@
-"""Send a trace of requests, open loop, and check every answer."""
+"""Open-loop load generator that checks every answer.
+
+Each request carries its number, which the stand-ins repeat in each token or
+body, so that truncated, duplicated, reordered and misrouted answers are
+recognized.
+"""
 
 import asyncio
 import random
@@ -15,11 +20,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """Describe one request of a trace.
+    """One request of a trace.
 
-    :param at_s: when it is sent, from the start of the trace.
+    :param at_s: send time in seconds from the start of the trace.
+    :param leaf: name of the request class.
     :param kind: ``engine`` or ``service``.
     :param tokens: length of the answer, which the router does not see.
+    :param number: identifies the request in its answer.
     """
 
     at_s: float
@@ -34,7 +41,18 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Hold what came of one job; times are seconds of the caller's clock."""
+    """Outcome of one job; times are seconds of the caller's monotonic clock.
+
+    :param first_s: arrival of the first byte of the body, 0 without one.
+    :param status: HTTP status, 0 without an answer.
+    :param code: code of the error, 0 without one.
+    :param ran: header that says whether a failed request ran.
+    :param tokens: tokens received.
+    :param fault: what was wrong with the answer: ``cut``, ``crossed`` (content
+        of another request), ``doubled`` or ``disordered`` tokens, or
+        ``no answer`` with the error; empty if nothing was.
+    :param address: instance that a refusal names for the next attempt.
+    """
 
     number: int
     leaf: str
@@ -52,12 +70,12 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether the caller got its whole answer."""
+        """Whether the answer arrived in full and without an error."""
         return self.status == 200 and not self.fault and not self.code
 
 
 class _ClientConnection(asyncio.Protocol):
-    """Own one connection to an entry for one request at a time."""
+    """Connection to an entry that carries one request at a time."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -114,7 +132,16 @@
 
 @dataclass(slots=True)
 class Target:
-    """Hold where callers connect and with which keys."""
+    """Entries that requests are sent to, and the keys of the callers.
+
+    :param addresses: caller addresses of entries; each request goes to one at
+        random.
+    :param keys: API key of each workspace.
+    :param seed: seed of the choice of addresses, and part of each prompt's
+        metadata and idempotency key.
+    :param idle_connections: open connections for reuse, by address.
+    :param headers: additional headers of each request.
+    """
 
     addresses: Sequence[str]
     keys: dict[str, str]
@@ -127,7 +154,10 @@
 
 
 async def send_jobs(jobs: Sequence[Job], target: Target) -> list[Answer]:
-    """Send each job at its time and return all answers."""
+    """Send each job at its time, without waiting for earlier answers.
+
+    :returns: the answers in the order of the jobs.
+    """
     rng = random.Random(target.seed)
     start_s = time.monotonic()
     tasks = []
@@ -141,7 +171,10 @@
 
 
 async def send(job: Job, target: Target, address: str) -> Answer:
-    """Send one job and check its answer."""
+    """Send one job and check its answer.
+
+    Connection errors and time-outs are reported in ``Answer.fault``.
+    """
     answer = Answer(job.number, job.leaf)
     answer.sent_s = time.monotonic()
     try:
@@ -267,5 +300,5 @@
 
 
 def as_row(answer: Answer) -> dict[str, Any]:
-    """Return an answer as plain fields."""
+    """Return an answer as a JSON object of the answers file."""
     return {**asdict(answer), 'whole': answer.complete}
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""Measure what the path adds: time, processor time and memory."""
+"""Overhead of an entry: latency, processor time and memory."""
 
 import asyncio
 import os
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Hold what a process has used so far."""
+    """Resources that a process has used so far.
+
+    :param rss_kb: resident memory.
+    """
 
     cpu_s: float
     rss_kb: int
@@ -37,7 +40,7 @@
 
 
 def usage(pid: int) -> Usage:
-    """Read processor time, memory and threads of a process."""
+    """Return the resource usage of a process, from ``/proc``."""
     fields = Path(f'/proc/{pid}/stat').read_text().rsplit(') ', 1)[1].split()
     status = Path(f'/proc/{pid}/status').read_text()
     rss_kb = int(status.split('VmRSS:')[1].split()[0])
@@ -46,7 +49,7 @@
 
 
 def plan() -> Plan:
-    """Return a deployment whose engines never bind."""
+    """Return a deployment whose engines never limit the throughput."""
     engine = {
         'step_ms': STEP_MS,
         'sequence_ms': 0,
@@ -62,7 +65,7 @@
 
 
 def measure(sizes: Sequence[int] = STREAM_COUNTS) -> list[dict[str, Any]]:
-    """Return one row per number of concurrent streams."""
+    """Measure one row per number of concurrent streams and save the rows."""
     with running(plan()) as cluster:
         rows = [uvloop.run(_measure(cluster, size)) for size in sizes]
     OUTPUT_FILE.parent.mkdir(parents=True, exist_ok=True)
@@ -71,7 +74,7 @@
 
 
 def show(rows: Sequence[dict[str, Any]]) -> None:
-    """Print the rows."""
+    """Print the rows of ``measure`` as a table."""
     write = sys.stdout.write
     write(
         ROW_FORMAT.format(
@@ -138,9 +141,9 @@
     idle, after_calls, during_streams, end = used
     tokens = sum(answer.tokens for answer in answers)
     if not all(answer.complete for answer in answers):
-        raise RuntimeError('a stream was not whole')
+        raise RuntimeError('a stream was not answered completely')
     per_call_s = (after_calls.cpu_s - idle.cpu_s) / PROBE_COUNT
-    # The probes sent beside the streams are not the tokens' cost.
+    # The probes sent during the streams are not part of the cost of tokens.
     cpu_s = end.cpu_s - after_calls.cpu_s - PROBE_COUNT * per_call_s
     return {
         'streams': size,
@@ -170,13 +173,16 @@
     count: int,
     interval_s: float = 0,
 ) -> list[float]:
-    """Return the times of small calls in ms, ordered."""
+    """Return the durations of small calls in ms, sorted.
+
+    :raises RuntimeError: if a call fails.
+    """
     times = []
     for number in range(count):
         job = Job(0, 'one', 'probe', 'service', 0, '', number)
         answer: Answer = await send(job, routed, routed.addresses[0])
         if not answer.complete:
-            raise RuntimeError(f'a probe failed: {answer}')
+            raise RuntimeError(f'probe call failed: {answer}')
         times.append((answer.end_s - answer.sent_s) * 1000)
         await asyncio.sleep(interval_s)
     return sorted(times)
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Draw the runs in ``build/bench`` and list them on one page."""
+"""Markdown report with plots of the experiment runs in ``build/bench``."""
 
 from collections.abc import Mapping, Sequence
 from pathlib import Path
@@ -21,7 +21,10 @@
 
 
 def report() -> Path:
-    """Write a page and a plot for each scenario; return the page's path."""
+    """Write a page of all runs, with a plot for each scenario.
+
+    :returns: path of the page.
+    """
     runs = [orjson.loads(path.read_bytes()) for path in _paths()]
     runs.sort(
         key=lambda run: (run['scenario'], run['instances'], run['policy'])
@@ -73,7 +76,7 @@
 
 
 def _plot(scenario: str, runs: Sequence[Mapping[str, Any]]) -> None:
-    """Draw the first-token times of each class, a line for each run."""
+    """Plot the distribution of the time to first token per class and run."""
     leaves = [row['class'] for row in runs[0]['classes']]
     figure, axes = plt.subplots(
         1,
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""Make the seeded traces of the experiments."""
+"""Seeded request traces and faults of the experiments."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -21,9 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Describe a fault of a scenario.
+    """Fault of a scenario.
 
-    :param order: order to a back end, or ``kill`` with the name of a process.
+    :param at_s: time in seconds from the start of the trace.
+    :param target: name of a backend server or entry.
+    :param order: command posted to the backend server, unless ``kill`` is set.
+    :param kill: whether the process of the target is killed.
     """
 
     at_s: float
@@ -34,9 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Hold a trace, its faults and its labelled breaches.
+    """Trace with its faults and expected alarms.
 
-    :param breaches: class names whose promise cannot be kept.
+    :param expected_breaches: names of the classes whose targets cannot be met
+        under this load.
     """
 
     name: str
@@ -46,7 +50,7 @@
 
 
 class _Trace:
-    """Collect the jobs of one trace."""
+    """Trace under construction, with its random generator."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -59,7 +63,12 @@
         tokens: int,
         kind: str = 'engine',
     ) -> None:
-        """Add a class whose rate changes over time."""
+        """Add requests of a class, by thinning a Poisson process.
+
+        :param per_s: rate in requests per second at a time of the trace; its
+            peak is taken from samples every 0.25 s.
+        :param tokens: mean answer length.
+        """
         peak_per_s = max(per_s(at / 4) for at in range(int(DURATION_S * 4)))
         if peak_per_s <= 0:
             return
@@ -87,12 +96,12 @@
 
 
 def constant(per_s: float) -> Callable[[float], float]:
-    """Return a rate that never changes."""
+    """Return a constant rate in requests per second."""
     return lambda at_s: per_s
 
 
 def ramp(low: float, high: float) -> Callable[[float], float]:
-    """Return a rate that rises within five seconds, stays and falls."""
+    """Return a rate that rises from 6 to 11 s and drops back after 20 s."""
 
     def rate(at_s: float) -> float:
         if at_s < 6 or at_s > 20:
@@ -105,17 +114,20 @@
 
 
 def pulse(low: float, high: float, start: float, end: float):
-    """Return a rate that is high between two times."""
+    """Return a rate that is ``high`` between two times, otherwise ``low``."""
     return lambda at_s: high if start <= at_s < end else low
 
 
 def build(name: str, seed: int) -> Scenario:
-    """Return a scenario by its name."""
+    """Return a scenario by its name.
+
+    :raises KeyError: if there is none of this name.
+    """
     return _BUILDERS[name](_Trace(seed))
 
 
 def names() -> list[str]:
-    """Return the names of all scenarios."""
+    """Return the names of all scenarios in alphabetical order."""
     return sorted(_BUILDERS)
 
 
--- a/bench/summary.py
+++ b/bench/summary.py
@@ -1,4 +1,4 @@
-"""Summarise answers per request class."""
+"""Summaries of answers per request class."""
 
 import statistics
 import sys
@@ -15,7 +15,10 @@
 
 
 def load_class_settings(tree: Path) -> dict[str, ClassSettings]:
-    """Return the promise of each class name of a tree."""
+    """Return the settings of each class of a tree, by class name.
+
+    Where workspaces share a class name, the last one's settings are returned.
+    """
     parsed = parse_tree(tree.read_text())
     found = {}
     for name, branch in parsed.workspaces.items():
@@ -25,7 +28,11 @@
 
 
 def meets_targets(answer: Answer, class_settings: ClassSettings) -> bool:
-    """Tell whether an answer met the targets of its class."""
+    """Return whether an answer met the targets of its class.
+
+    It must be complete and meet the targets for the time to first token and
+    for the mean time between tokens.
+    """
     if not answer.complete:
         return False
     first_ms = (answer.first_s - answer.sent_s) * 1000
@@ -40,7 +47,7 @@
 
 
 def summarise(answers: Sequence[Answer], tree: Path) -> list[dict[str, Any]]:
-    """Return one row per class, the most urgent first."""
+    """Return one row per class that had requests, the top tier first."""
     settings_by_class = load_class_settings(tree)
     rows = []
     for leaf in sorted(
@@ -87,7 +94,10 @@
 
 
 def quantile(ordered: Sequence[float], fraction: float) -> float:
-    """Return a quantile of ordered figures, 0 where there are none."""
+    """Return a quantile of sorted figures, 0 if there are none.
+
+    :param fraction: between 0 and 1, with a resolution of 0.005.
+    """
     if not ordered:
         return 0.0
     if len(ordered) == 1:
@@ -97,7 +107,7 @@
 
 
 def print_table(rows: Sequence[dict[str, Any]]) -> None:
-    """Print one line per class."""
+    """Print the rows of ``summarise`` as a table."""
     write = sys.stdout.write
     write(
         ROW.format(
