--- a/bench/broken.py
+++ b/bench/broken.py
@@ -19,8 +19,8 @@
 from siskinpass.version.tree_version import CurrentVersion
 
 
-def break_crossed() -> None:
-    """Forward stream events of other requests."""
+def ignore_request_ids() -> None:
+    """Forward stream events without checking their request id."""
     original_init = TokenStreamParser.__init__
 
     def init_with_weak_marker(self, marker: bytes) -> None:
@@ -29,12 +29,12 @@
     TokenStreamParser.__init__ = init_with_weak_marker
 
 
-def break_once() -> None:
+def retry_non_idempotent_calls() -> None:
     """Retry calls that are not idempotent."""
     RequestRun._check_may_retry = lambda self, error: None
 
 
-def break_claims() -> None:
+def skip_claims() -> None:
     """Run requests without checking whether their key is claimed."""
 
     async def make(self, call) -> HeldClaim:
@@ -48,7 +48,7 @@
     Claims.settle = settle
 
 
-def break_drain() -> None:
+def skip_drain() -> None:
     """Exit without waiting for open requests."""
 
     async def drain(self) -> None:
@@ -57,7 +57,7 @@
     Relay.drain = drain
 
 
-def break_versions() -> None:
+def accept_lower_versions() -> None:
     """Put any received version in force, even a lower one."""
 
     def adopt_if_newer(self, version) -> bool:
@@ -67,7 +67,7 @@
     CurrentVersion.adopt_if_newer = adopt_if_newer
 
 
-def break_resume() -> None:
+def resume_from_start() -> None:
     """Resume interrupted streams from their first token."""
     TokenStreamParser.tokens = property(
         lambda self: 0,
@@ -75,7 +75,7 @@
     )
 
 
-def break_leaving() -> None:
+def grant_leaving_slots() -> None:
     """Grant slots of backend servers that are leaving."""
 
     def free_slots(self, now_s: float) -> int:
@@ -84,7 +84,7 @@
     Server.free_slots = free_slots
 
 
-def break_whole() -> None:
+def treat_cut_streams_as_complete() -> None:
     """Treat an interrupted stream as complete."""
 
     def take_failure(self, error) -> None:
@@ -95,7 +95,7 @@
     Attempt.take_failure = take_failure
 
 
-def break_truth() -> None:
+def report_failures_as_not_run() -> None:
     """Report every failed request as not run."""
     RequestRun.ran = property(
         lambda self: Ran.not_run,
@@ -103,18 +103,18 @@
     )
 
 
-BREAKS: dict[str, Callable[[], None]] = {
-    'crossed': break_crossed,
-    'once': break_once,
-    'claims': break_claims,
-    'drain': break_drain,
-    'versions': break_versions,
-    'resume': break_resume,
-    'leaving': break_leaving,
-    'whole': break_whole,
-    'truth': break_truth,
+MUTATIONS: dict[str, Callable[[], None]] = {
+    'crossed': ignore_request_ids,
+    'once': retry_non_idempotent_calls,
+    'claims': skip_claims,
+    'drain': skip_drain,
+    'versions': accept_lower_versions,
+    'resume': resume_from_start,
+    'leaving': grant_leaving_slots,
+    'whole': treat_cut_streams_as_complete,
+    'truth': report_failures_as_not_run,
 }
 
 if __name__ == '__main__':
-    BREAKS[sys.argv.pop(1)]()
+    MUTATIONS[sys.argv.pop(1)]()
     cli.main()
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -388,10 +388,10 @@
     broker_client = BrokerClient('lm', lambda unused: None)
     port = links.dial('broker', broker_client, lambda unused: None)
     broker_client.attach(port, 'broker')
-    counter = _TicketLoop(broker_client, 500)
+    ticket_loop = _TicketLoop(broker_client, 500)
     start_s = time.process_time()
-    counter.ask(0)
-    await counter.done
+    ticket_loop.ask(0)
+    await ticket_loop.done
     ticket_us = (time.process_time() - start_s) / 500 * 1_000_000
     start_s = time.process_time()
     await asyncio.sleep(2)
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -21,6 +21,7 @@
 
 ENTRIES = 8
 DEPLOYMENT = 'fieltro-lanera'
+# Class, kind of pool, requests per second, mean answer length in tokens.
 REQUEST_RATES = (
     ('counter', 'engine', 12.0, 15),
     ('order', 'service', 16.0, 0),
@@ -449,7 +450,7 @@
     Faults, violations and answers are written to
     ``build/bench/chaos-SEED.json``.
 
-    :param disabled_safeguard: key of ``bench.broken.BREAKS``, empty for none.
+    :param disabled_safeguard: key of ``bench.broken.MUTATIONS`` or empty.
     """
     services = {f'app-{number}': {'work_ms': 150} for number in range(1, 4)}
     plan = deployment(
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -59,8 +59,8 @@
     :param flags: additional flags for each entry.
     :param source: source folder of another version of the product, empty for
         the installed one.
-    :param disabled_safeguard: key of ``bench.broken.BREAKS`` for the safeguard
-        that the entries run without, empty for none.
+    :param disabled_safeguard: safeguard that the entries run without, a key of
+        ``bench.broken.MUTATIONS``, or empty.
     """
 
     tree: Path
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -19,8 +19,9 @@
 
     :returns: number of faulty answers and of calls that ran more than once.
     """
-    broken = 0
-    for name, classes in (
+    faulty_count = 0
+    # Class, kind of pool, requests per second, mean answer length in tokens.
+    for name, class_loads in (
         (
             'fieltro-lanera',
             (
@@ -43,20 +44,20 @@
         ),
     ):
         with running(deployment(name, ENTRIES)) as cluster:
-            answers = _run_load(cluster, classes)
+            answers = _run_load(cluster, class_loads)
             sys.stdout.write(f'\n{name}, {ENTRIES} entry instances\n')
             rows = summarise(answers, cluster.plan.tree)
             print_table(rows)
-            broken += _count_broken(cluster, answers)
-    sys.stdout.write(f'\nlost, crossed, cut or doubled: {broken}\n')
-    return broken
+            faulty_count += _count_faulty(cluster, answers)
+    sys.stdout.write(f'\nlost, crossed, cut or doubled: {faulty_count}\n')
+    return faulty_count
 
 
-def _run_load(cluster: Cluster, classes) -> list[Answer]:
+def _run_load(cluster: Cluster, class_loads) -> list[Answer]:
     rng = random.Random(SEED)
     workspaces = sorted(cluster.keys)
     jobs = []
-    for leaf, kind, per_s, tokens in classes:
+    for leaf, kind, per_s, tokens in class_loads:
         at_s = rng.expovariate(per_s)
         while at_s < SECONDS:
             jobs.append(
@@ -112,10 +113,10 @@
     return Target(sorted(set(addresses)), cluster.keys, model, seed)
 
 
-def _count_broken(cluster: Cluster, answers: list[Answer]) -> int:
-    broken = sum(bool(answer.fault) for answer in answers)
+def _count_faulty(cluster: Cluster, answers: list[Answer]) -> int:
+    faulty_count = sum(bool(answer.fault) for answer in answers)
     runs: dict[str, int] = {}
     for name in cluster.plan.services:
         for run in cluster.read(name, '/log'):
             runs[run['body']] = runs.get(run['body'], 0) + 1
-    return broken + sum(count - 1 for count in runs.values())
+    return faulty_count + sum(count - 1 for count in runs.values())
--- a/bench/load.py
+++ b/bench/load.py
@@ -90,7 +90,7 @@
         self.transport = transport
 
     def connection_lost(self, exc) -> None:
-        self._end()
+        self._set_done()
 
     def send_request(self, request: bytes) -> asyncio.Future:
         self.done = asyncio.get_running_loop().create_future()
@@ -123,9 +123,9 @@
         self.complete = True
         if not self.parser.should_keep_alive():
             self.transport.close()
-        self._end()
+        self._set_done()
 
-    def _end(self) -> None:
+    def _set_done(self) -> None:
         if self.done is not None and not self.done.done():
             self.done.set_result(None)
 
@@ -180,7 +180,7 @@
     try:
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
             connection = await _connect(target, address)
-            await connection.send_request(_request(job, target))
+            await connection.send_request(_encode_request(job, target))
     except (OSError, TimeoutError) as error:
         answer.fault = f'no answer: {type(error).__name__}'
         answer.end_s = time.monotonic()
@@ -207,7 +207,7 @@
     return connection
 
 
-def _request(job: Job, target: Target) -> bytes:
+def _encode_request(job: Job, target: Target) -> bytes:
     seed = f's{target.seed}n{job.number}'
     headers = {
         'Host': 'siskinpass',
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""Test that the capacity page says what was measured."""
+"""Tests that the capacity page matches the measured figures."""
 
 import orjson
 
@@ -6,8 +6,8 @@
 
 
 class TestCapacityPage:
-    """Test page against figures."""
+    """Tests of the committed page against the committed figures."""
 
     def test_page_is_made_from_the_figures(self):
-        """No figure on the page differs from the committed ones."""
+        """The page was rendered from the committed figures and not edited."""
         assert PAGE.read_text() == render(orjson.loads(FIGURES.read_bytes()))
