--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -71,7 +71,7 @@
         """Tickets cross between instances over mutual TLS."""
         jobs = [counter(at_s=number / 20) for number in range(12)]
         answers = ask(jobs, target(peers_with_tls))
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
         brokers = [
             entry.name
             for entry in peers_with_tls.entries
