--- a/bench/broken.py
+++ b/bench/broken.py
@@ -1,7 +1,7 @@
-"""Run the command line with one safeguard taken out.
+"""Product command line with one safeguard disabled.
 
-``python -m bench.broken NAME serve ...`` shows that the chaos run notices
-when the safeguard of that name is missing.
+``python -m bench.broken NAME serve ...`` starts an entry without the safeguard
+of that name, to show that the chaos run detects its absence.
 """
 
 import sys
@@ -19,46 +19,46 @@
 from siskinpass.version.tree_version import CurrentVersion
 
 
-def break_crossed() -> None:
-    """Pass on events whatever request they are for."""
-    start = TokenStreamParser.__init__
+def ignore_request_ids() -> None:
+    """Forward stream events without checking their request id."""
+    original_init = TokenStreamParser.__init__
 
-    def forget_marker(self, marker: bytes) -> None:
-        start(self, b'"id":"')
+    def init_with_weak_marker(self, marker: bytes) -> None:
+        original_init(self, b'"id":"')
 
-    TokenStreamParser.__init__ = forget_marker
+    TokenStreamParser.__init__ = init_with_weak_marker
 
 
-def break_once() -> None:
-    """Retry calls that may not be repeated."""
+def retry_non_idempotent_calls() -> None:
+    """Retry calls that are not idempotent."""
     RequestRun._check_may_retry = lambda self, error: None
 
 
-def break_claims() -> None:
-    """Run without asking whether the key was claimed."""
+def skip_claims() -> None:
+    """Run requests without checking whether their key is claimed."""
 
     async def make(self, call) -> HeldClaim:
         claim = Claim('none', call.digest, ClaimState.open, 0)
         return HeldClaim('claims/none', claim, 0)
 
     async def settle(self, *args) -> None:
-        """Write nothing."""
+        """Leave the claim store unchanged."""
 
     Claims.make = make
     Claims.settle = settle
 
 
-def break_drain() -> None:
-    """Stop without waiting for open requests."""
+def skip_drain() -> None:
+    """Exit without waiting for open requests."""
 
     async def drain(self) -> None:
-        """Wait for nothing."""
+        """Return at once."""
 
     Relay.drain = drain
 
 
-def break_versions() -> None:
-    """Put any version in force, a lower one too."""
+def accept_lower_versions() -> None:
+    """Put any received version in force, even a lower one."""
 
     def adopt_if_newer(self, version) -> bool:
         self._current = version
@@ -67,16 +67,16 @@
     CurrentVersion.adopt_if_newer = adopt_if_newer
 
 
-def break_resume() -> None:
-    """Resume every stream from its start."""
+def resume_from_start() -> None:
+    """Resume interrupted streams from their first token."""
     TokenStreamParser.tokens = property(
         lambda self: 0,
         lambda self, count: None,
     )
 
 
-def break_leaving() -> None:
-    """Give work to leaving backend servers."""
+def grant_leaving_slots() -> None:
+    """Grant slots of backend servers that are leaving."""
 
     def free_slots(self, now_s: float) -> int:
         return self.limit.slots - self.running
@@ -84,8 +84,8 @@
     Server.free_slots = free_slots
 
 
-def break_whole() -> None:
-    """Take a stream that broke off for whole."""
+def treat_cut_streams_as_complete() -> None:
+    """Treat an interrupted stream as complete."""
 
     def receive_failure(self, error) -> None:
         self._connection = None
@@ -95,26 +95,26 @@
     Attempt.receive_failure = receive_failure
 
 
-def break_truth() -> None:
-    """Say of every failed request that it was not run."""
+def report_failures_as_not_run() -> None:
+    """Report every failed request as not run."""
     RequestRun.ran = property(
         lambda self: Ran.not_run,
         lambda self, ran: None,
     )
 
 
-BREAKS: dict[str, Callable[[], None]] = {
-    'crossed': break_crossed,
-    'once': break_once,
-    'claims': break_claims,
-    'drain': break_drain,
-    'versions': break_versions,
-    'resume': break_resume,
-    'leaving': break_leaving,
-    'whole': break_whole,
-    'truth': break_truth,
+MUTATIONS: dict[str, Callable[[], None]] = {
+    'crossed': ignore_request_ids,
+    'once': retry_non_idempotent_calls,
+    'claims': skip_claims,
+    'drain': skip_drain,
+    'versions': accept_lower_versions,
+    'resume': resume_from_start,
+    'leaving': grant_leaving_slots,
+    'whole': treat_cut_streams_as_complete,
+    'truth': report_failures_as_not_run,
 }
 
 if __name__ == '__main__':
-    BREAKS[sys.argv.pop(1)]()
+    MUTATIONS[sys.argv.pop(1)]()
     cli.main()
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""Show both example deployments under a small mixed load."""
+"""Demonstration of both example deployments under a small mixed load."""
 
 import random
 import sys
@@ -6,7 +6,7 @@
 import uvloop
 
 from bench.cluster import Cluster, deployment, running
-from bench.load import Answer, Job, Target, play
+from bench.load import Answer, Job, Target, run_jobs
 from bench.summary import print_table, summarise
 
 SECONDS = 10
@@ -15,9 +15,13 @@
 
 
 def demo() -> int:
-    """Run both deployments and return the number of broken answers."""
-    broken = 0
-    for name, classes in (
+    """Run both deployments and print a table for each.
+
+    :returns: number of faulty answers and of calls that ran more than once.
+    """
+    faulty_count = 0
+    # Class, kind of pool, requests per second, mean answer length in tokens.
+    for name, class_loads in (
         (
             'fieltro-lanera',
             (
@@ -40,38 +44,38 @@
         ),
     ):
         with running(deployment(name, ENTRIES)) as cluster:
-            answers = _load(cluster, classes)
+            answers = _run_load(cluster, class_loads)
             sys.stdout.write(f'\n{name}, {ENTRIES} entry instances\n')
             rows = summarise(answers, cluster.plan.tree)
             print_table(rows)
-            broken += _count_broken(cluster, answers)
-    sys.stdout.write(f'\nlost, crossed, cut or doubled: {broken}\n')
-    return broken
+            faulty_count += _count_faulty(cluster, answers)
+    sys.stdout.write(f'\nlost, crossed, cut or doubled: {faulty_count}\n')
+    return faulty_count
 
 
-def _load(cluster: Cluster, classes) -> list[Answer]:
-    chance = random.Random(SEED)
+def _run_load(cluster: Cluster, class_loads) -> list[Answer]:
+    rng = random.Random(SEED)
     workspaces = sorted(cluster.keys)
     jobs = []
-    for leaf, kind, per_s, tokens in classes:
-        at_s = chance.expovariate(per_s)
+    for leaf, kind, per_s, tokens in class_loads:
+        at_s = rng.expovariate(per_s)
         while at_s < SECONDS:
             jobs.append(
                 Job(
                     at_s,
-                    chance.choice(workspaces),
+                    rng.choice(workspaces),
                     leaf,
                     kind,
-                    max(1, int(tokens * chance.uniform(0.5, 1.5))),
+                    max(1, int(tokens * rng.uniform(0.5, 1.5))),
                     'size of slippers? ' * 8,
                 ),
             )
-            at_s += chance.expovariate(per_s)
-    return uvloop.run(play(number_jobs(jobs), target_of(cluster)))
+            at_s += rng.expovariate(per_s)
+    return uvloop.run(run_jobs(number_jobs(jobs), discover_target(cluster)))
 
 
 def number_jobs(jobs: list[Job]) -> list[Job]:
-    """Return jobs in the order of their times, each with its number."""
+    """Return the jobs sorted by send time and numbered in this order."""
     ordered = sorted(jobs, key=lambda job: job.at_s)
     return [
         Job(
@@ -88,8 +92,11 @@
     ]
 
 
-def target_of(cluster: Cluster, seed: int = 0) -> Target:
-    """Return where callers of a cluster connect, as they are told."""
+def discover_target(cluster: Cluster, seed: int = 0) -> Target:
+    """Return the target that ``/address`` and ``/v1/models`` of a cluster give.
+
+    Each entry is asked for an address in its own availability zone.
+    """
     addresses = []
     for entry in cluster.entries:
         answer = cluster.http.request(
@@ -106,10 +113,10 @@
     return Target(sorted(set(addresses)), cluster.keys, model, seed)
 
 
-def _count_broken(cluster: Cluster, answers: list[Answer]) -> int:
-    broken = sum(bool(answer.fault) for answer in answers)
+def _count_faulty(cluster: Cluster, answers: list[Answer]) -> int:
+    faulty_count = sum(bool(answer.fault) for answer in answers)
     runs: dict[str, int] = {}
     for name in cluster.plan.services:
         for run in cluster.read(name, '/log'):
             runs[run['body']] = runs.get(run['body'], 0) + 1
-    return broken + sum(count - 1 for count in runs.values())
+    return faulty_count + sum(count - 1 for count in runs.values())
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,9 @@
-"""Send a trace of requests, open loop, and check every answer."""
+"""Open-loop load generator that checks every answer.
+
+Each request carries its number, which the stand-ins repeat in each token or
+body, so that truncated, duplicated, reordered and misrouted answers are
+recognized.
+"""
 
 import asyncio
 import random
@@ -10,16 +15,18 @@
 import httptools
 import orjson
 
-PATIENCE_S = 180.0
+REQUEST_TIMEOUT_S = 180.0
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """Describe one request of a trace.
+    """One request of a trace.
 
-    :param at_s: when it is sent, from the start of the trace.
+    :param at_s: send time in seconds from the start of the trace.
+    :param leaf: name of the request class.
     :param kind: ``engine`` or ``service``.
     :param tokens: length of the answer, which the router does not see.
+    :param number: identifies the request in its answer.
     """
 
     at_s: float
@@ -34,7 +41,18 @@
 
 @dataclass(slots=True)
 class Answer:
-    """Hold what came of one job; times are seconds of the caller's clock."""
+    """Outcome of one job; times are seconds of the caller's monotonic clock.
+
+    :param first_s: arrival of the first byte of the body, 0 without one.
+    :param status: HTTP status, 0 without an answer.
+    :param code: code of the error, 0 without one.
+    :param ran: header that says whether a failed request ran.
+    :param tokens: tokens received.
+    :param fault: what was wrong with the answer: ``cut``, ``crossed`` (content
+        of another request), ``doubled`` or ``disordered`` tokens, or
+        ``no answer`` with the error; empty if nothing was.
+    :param address: instance that a refusal names for the next attempt.
+    """
 
     number: int
     leaf: str
@@ -51,13 +69,13 @@
     address: str = ''
 
     @property
-    def whole(self) -> bool:
-        """Return whether the caller got its whole answer."""
+    def complete(self) -> bool:
+        """Whether the answer arrived in full and without an error."""
         return self.status == 200 and not self.fault and not self.code
 
 
-class _Exchange(asyncio.Protocol):
-    """Own one connection to an entry for one request at a time."""
+class _ClientConnection(asyncio.Protocol):
+    """Connection to an entry that carries one request at a time."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -66,21 +84,21 @@
         self.headers: dict[str, str] = {}
         self.status = 0
         self.first_s = 0.0
-        self.whole = False
+        self.complete = False
 
     def connection_made(self, transport) -> None:
         self.transport = transport
 
     def connection_lost(self, exc) -> None:
-        self._end()
+        self._set_done()
 
-    def ask(self, request: bytes) -> asyncio.Future:
+    def send_request(self, request: bytes) -> asyncio.Future:
         self.done = asyncio.get_running_loop().create_future()
         self.body = bytearray()
         self.headers = {}
         self.status = 0
         self.first_s = 0.0
-        self.whole = False
+        self.complete = False
         self.transport.write(request)
         return self.done
 
@@ -102,75 +120,94 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
         if not self.parser.should_keep_alive():
             self.transport.close()
-        self._end()
+        self._set_done()
 
-    def _end(self) -> None:
+    def _set_done(self) -> None:
         if self.done is not None and not self.done.done():
             self.done.set_result(None)
 
 
 @dataclass(slots=True)
 class Target:
-    """Hold where callers connect and with which keys."""
+    """Entries that requests are sent to, and the keys of the callers.
+
+    :param addresses: caller addresses of entries; each request goes to one at
+        random.
+    :param keys: API key of each workspace.
+    :param seed: seed of the choice of addresses, and part of each prompt's
+        metadata and idempotency key.
+    :param idle_connections: open connections for reuse, by address.
+    :param headers: additional headers of each request.
+    """
 
     addresses: Sequence[str]
     keys: dict[str, str]
     model: str
     seed: int = 0
-    kept: dict[str, list[_Exchange]] = field(default_factory=dict)
+    idle_connections: dict[str, list[_ClientConnection]] = field(
+        default_factory=dict
+    )
     headers: dict[str, str] = field(default_factory=dict)
 
 
-async def play(jobs: Sequence[Job], target: Target) -> list[Answer]:
-    """Send each job at its time and return all answers."""
-    chance = random.Random(target.seed)
+async def run_jobs(jobs: Sequence[Job], target: Target) -> list[Answer]:
+    """Send each job at its time, without waiting for earlier answers.
+
+    :returns: the answers in the order of the jobs.
+    """
+    rng = random.Random(target.seed)
     start_s = time.monotonic()
     tasks = []
     for job in jobs:
         wait_s = start_s + job.at_s - time.monotonic()
         if wait_s > 0:
             await asyncio.sleep(wait_s)
-        address = chance.choice(target.addresses)
+        address = rng.choice(target.addresses)
         tasks.append(asyncio.ensure_future(send(job, target, address)))
     return await asyncio.gather(*tasks)
 
 
 async def send(job: Job, target: Target, address: str) -> Answer:
-    """Send one job and check its answer."""
+    """Send one job and check its answer.
+
+    Connection errors and time-outs are reported in ``Answer.fault``.
+    """
     answer = Answer(job.number, job.leaf)
     answer.sent_s = time.monotonic()
     try:
-        async with asyncio.timeout(PATIENCE_S):
-            exchange = await _connect(target, address)
-            await exchange.ask(_request(job, target))
+        async with asyncio.timeout(REQUEST_TIMEOUT_S):
+            connection = await _connect(target, address)
+            await connection.send_request(_encode_request(job, target))
     except (OSError, TimeoutError) as error:
         answer.fault = f'no answer: {type(error).__name__}'
         answer.end_s = time.monotonic()
         return answer
     answer.end_s = time.monotonic()
-    answer.first_s = exchange.first_s
-    _check(job, exchange, answer)
-    if exchange.whole and not exchange.transport.is_closing():
-        target.kept.setdefault(address, []).append(exchange)
+    answer.first_s = connection.first_s
+    _record_response(job, connection, answer)
+    if connection.complete and not connection.transport.is_closing():
+        target.idle_connections.setdefault(address, []).append(connection)
     return answer
 
 
-async def _connect(target: Target, address: str) -> _Exchange:
-    kept = target.kept.get(address, [])
-    while kept:
-        exchange = kept.pop()
-        if not exchange.transport.is_closing():
-            return exchange
+async def _connect(target: Target, address: str) -> _ClientConnection:
+    idle_connections = target.idle_connections.get(address, [])
+    while idle_connections:
+        connection = idle_connections.pop()
+        if not connection.transport.is_closing():
+            return connection
     host, port = address.rsplit(':', 1)
     loop = asyncio.get_running_loop()
-    _, exchange = await loop.create_connection(_Exchange, host, int(port))
-    return exchange
+    _, connection = await loop.create_connection(
+        _ClientConnection, host, int(port)
+    )
+    return connection
 
 
-def _request(job: Job, target: Target) -> bytes:
+def _encode_request(job: Job, target: Target) -> bytes:
     seed = f's{target.seed}n{job.number}'
     headers = {
         'Host': 'siskinpass',
@@ -197,20 +234,22 @@
     return ('\r\n'.join(lines) + '\r\n\r\n').encode() + body
 
 
-def _check(job: Job, exchange: _Exchange, answer: Answer) -> None:
-    answer.status = exchange.status
-    headers = exchange.headers
+def _record_response(
+    job: Job, connection: _ClientConnection, answer: Answer
+) -> None:
+    answer.status = connection.status
+    headers = connection.headers
     answer.code = int(headers.get('x-siskinpass-code', 0))
     answer.ran = headers.get('x-siskinpass-ran', '')
     answer.request_id = headers.get('x-request-id', '')
     answer.retry_after_ms = int(headers.get('retry-after-ms', 0))
     answer.address = headers.get('x-siskinpass-address', '')
-    body = bytes(exchange.body)
+    body = bytes(connection.body)
     if b'event: error\n' in body:
         tail = body.rsplit(b'event: error\ndata: ', 1)[1]
         answer.code = orjson.loads(tail)['error']['code']
         return
-    if not exchange.whole:
+    if not connection.complete:
         answer.fault = 'cut'
     elif answer.code:
         return
@@ -219,10 +258,10 @@
         if f'n{job.number}"' not in sent:
             answer.fault = 'crossed'
     else:
-        answer.fault = _check_tokens(job, body, answer)
+        answer.fault = _token_fault(job, body, answer)
 
 
-def _check_tokens(job: Job, body: bytes, answer: Answer) -> str:
+def _token_fault(job: Job, body: bytes, answer: Answer) -> str:
     if job.stream:
         events = body.split(b'\n\n')
         if events[-2:] != [b'data: [DONE]', b'']:
@@ -235,19 +274,19 @@
         text = orjson.loads(body)['choices'][0]['text']
         texts = [f'{token} ' for token in text.split()]
     answer.tokens = len(texts)
-    wanted = [f'n{job.number}-{index} ' for index in range(job.tokens)]
+    expected = [f'n{job.number}-{index} ' for index in range(job.tokens)]
     found = [text[max(0, text.find('n')) :] for text in texts]
-    if found == wanted:
+    if found == expected:
         return ''
-    return _name_fault(found, wanted)
+    return _classify_token_fault(found, expected)
 
 
-def _name_fault(found: list[str], wanted: list[str]) -> str:
-    if set(found) - set(wanted):
+def _classify_token_fault(found: list[str], expected: list[str]) -> str:
+    if set(found) - set(expected):
         return 'crossed'
     if len(set(found)) < len(found):
         return 'doubled'
-    return 'cut' if len(found) < len(wanted) else 'disordered'
+    return 'cut' if len(found) < len(expected) else 'disordered'
 
 
 def dump_jobs(jobs: Sequence[Job]) -> bytes:
@@ -261,5 +300,5 @@
 
 
 def as_row(answer: Answer) -> dict[str, Any]:
-    """Return an answer as plain fields."""
-    return {**asdict(answer), 'whole': answer.whole}
+    """Return an answer as a JSON object of the answers file."""
+    return {**asdict(answer), 'whole': answer.complete}
--- a/bench/summary.py
+++ b/bench/summary.py
@@ -1,4 +1,4 @@
-"""Summarise answers per request class."""
+"""Summaries of answers per request class."""
 
 import statistics
 import sys
@@ -14,8 +14,11 @@
 ROW = '{:<12}{:>5}{:>7}{:>7}{:>8}{:>10}{:>10}{:>10}  {}\n'
 
 
-def promises(tree: Path) -> dict[str, ClassSettings]:
-    """Return the promise of each class name of a tree."""
+def load_class_settings(tree: Path) -> dict[str, ClassSettings]:
+    """Return the settings of each class of a tree, by class name.
+
+    Where workspaces share a class name, the last one's settings are returned.
+    """
     parsed = parse_tree(tree.read_text())
     found = {}
     for name, branch in parsed.workspaces.items():
@@ -24,9 +27,13 @@
     return found
 
 
-def met(answer: Answer, class_settings: ClassSettings) -> bool:
-    """Tell whether an answer met the targets of its class."""
-    if not answer.whole:
+def meets_targets(answer: Answer, class_settings: ClassSettings) -> bool:
+    """Return whether an answer met the targets of its class.
+
+    It must be complete and meet the targets for the time to first token and
+    for the mean time between tokens.
+    """
+    if not answer.complete:
         return False
     first_ms = (answer.first_s - answer.sent_s) * 1000
     if answer.tokens > 1:
@@ -40,48 +47,57 @@
 
 
 def summarise(answers: Sequence[Answer], tree: Path) -> list[dict[str, Any]]:
-    """Return one row per class, the most urgent first."""
-    known = promises(tree)
+    """Return one row per class that had requests, the top tier first."""
+    settings_by_class = load_class_settings(tree)
     rows = []
-    for leaf in sorted(known, key=lambda name: (known[name].tier, name)):
-        own = [answer for answer in answers if answer.leaf == leaf]
-        if own:
-            rows.append(_row(leaf, own, known[leaf]))
+    for leaf in sorted(
+        settings_by_class, key=lambda name: (settings_by_class[name].tier, name)
+    ):
+        class_answers = [answer for answer in answers if answer.leaf == leaf]
+        if class_answers:
+            rows.append(_row(leaf, class_answers, settings_by_class[leaf]))
     return rows
 
 
 def _row(
     leaf: str,
-    own: Sequence[Answer],
+    class_answers: Sequence[Answer],
     class_settings: ClassSettings,
 ) -> dict[str, Any]:
-    firsts = sorted(
+    first_times_ms = sorted(
         (answer.first_s - answer.sent_s) * 1000
-        for answer in own
-        if answer.whole
+        for answer in class_answers
+        if answer.complete
     )
-    codes = Counter(answer.code for answer in own if answer.code)
-    faults = Counter(answer.fault for answer in own if answer.fault)
-    whole = [answer for answer in own if answer.whole]
+    codes = Counter(answer.code for answer in class_answers if answer.code)
+    faults = Counter(answer.fault for answer in class_answers if answer.fault)
+    complete = [answer for answer in class_answers if answer.complete]
     return {
         'class': leaf,
         'tier': class_settings.tier,
-        'sent': len(own),
-        'whole': len(whole),
-        'met': sum(met(answer, class_settings) for answer in own),
-        'attainment': sum(met(answer, class_settings) for answer in own)
-        / len(own),
-        'tokens': sum(answer.tokens for answer in whole),
-        'first_ms_p50': quantile(firsts, 0.5),
-        'first_ms_p95': quantile(firsts, 0.95),
-        'first_ms_p99': quantile(firsts, 0.99),
+        'sent': len(class_answers),
+        'whole': len(complete),
+        'met': sum(
+            meets_targets(answer, class_settings) for answer in class_answers
+        ),
+        'attainment': sum(
+            meets_targets(answer, class_settings) for answer in class_answers
+        )
+        / len(class_answers),
+        'tokens': sum(answer.tokens for answer in complete),
+        'first_ms_p50': quantile(first_times_ms, 0.5),
+        'first_ms_p95': quantile(first_times_ms, 0.95),
+        'first_ms_p99': quantile(first_times_ms, 0.99),
         'codes': {str(code): count for code, count in codes.items()},
         'faults': dict(faults),
     }
 
 
 def quantile(ordered: Sequence[float], fraction: float) -> float:
-    """Return a quantile of ordered figures, 0 where there are none."""
+    """Return a quantile of sorted figures, 0 if there are none.
+
+    :param fraction: between 0 and 1, with a resolution of 0.005.
+    """
     if not ordered:
         return 0.0
     if len(ordered) == 1:
@@ -91,7 +107,7 @@
 
 
 def print_table(rows: Sequence[dict[str, Any]]) -> None:
-    """Print one line per class."""
+    """Print the rows of ``summarise`` as a table."""
     write = sys.stdout.write
     write(
         ROW.format(
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -8,7 +8,7 @@
 
 from bench.cluster import Cluster, Entry
 from bench.demo import number_jobs
-from bench.load import Answer, Job, Target, play
+from bench.load import Answer, Job, Target, run_jobs
 
 WAIT_S = 30.0
 POLL_S = 0.05
@@ -62,8 +62,8 @@
 def send_jobs(jobs: list[Job], destination: Target) -> list[Answer]:
     """Send jobs, each at its time, and return their answers."""
     # Kept connections belong to an event loop that has ended.
-    destination.kept.clear()
-    return asyncio.run(play(number_jobs(jobs), destination))
+    destination.idle_connections.clear()
+    return asyncio.run(run_jobs(number_jobs(jobs), destination))
 
 
 def send_raw(address: str, wire: bytes, *, half_close: bool = False) -> bytes:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -7,7 +7,7 @@
 
 from bench.cluster import Plan, running
 from bench.demo import number_jobs
-from bench.load import Job, Target, play
+from bench.load import Job, Target, run_jobs
 
 STREAMS = 2000
 STALLED_CONNECTIONS = 500
@@ -63,9 +63,9 @@
         answers, probe, thread_count = asyncio.run(
             self._run_load(single_entry, destination)
         )
-        assert probe.whole
+        assert probe.complete
         assert thread_count <= MAX_THREADS
-        incomplete = [answer for answer in answers if not answer.whole]
+        incomplete = [answer for answer in answers if not answer.complete]
         assert not incomplete[:3]
         assert len(answers) == STREAMS
 
@@ -74,14 +74,16 @@
             Job(number / 1000, 'one', 'stream', 'engine', 6, 'p')
             for number in range(STREAMS)
         ]
-        streams = asyncio.ensure_future(play(number_jobs(jobs), destination))
+        streams = asyncio.ensure_future(
+            run_jobs(number_jobs(jobs), destination)
+        )
         while single_entry.read('engine-0', '/load').get('running', 0) < 100:
             await asyncio.sleep(0.2)
         stalled = [
             await open_stalled_connection(single_entry.entries[0].callers)
             for _ in range(STALLED_CONNECTIONS)
         ]
-        probe = await play([_probe()], destination)
+        probe = await run_jobs([_probe()], destination)
         thread_count = count_threads(single_entry)
         answers = await streams
         for _, writer in stalled:
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -171,7 +171,7 @@
         answer = send_raw(entry.callers, make(cluster))
         assert b'X-Siskinpass-Code: %d\r\n' % code in answer
         assert b'X-Siskinpass-Ran: no\r\n' in answer
-        assert send_jobs([counter()], target(cluster, entry))[0].whole
+        assert send_jobs([counter()], target(cluster, entry))[0].complete
 
     def test_body_cut_short(self, cluster):
         """A body that ends early has another code than a slow one."""
@@ -194,7 +194,9 @@
         """Streams, whole answers and service calls work at every entry."""
         jobs = [counter(at_s=number / 50) for number in range(12)]
         jobs += [counter(stream=False), order(), pattern()]
-        assert all(answer.whole for answer in send_jobs(jobs, target(cluster)))
+        assert all(
+            answer.complete for answer in send_jobs(jobs, target(cluster))
+        )
 
     @pytest.mark.parametrize('stream', [False, True])
     def test_stock_client(self, cluster, stream):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -108,7 +108,7 @@
             answers = send_jobs(
                 [counter() for _ in range(20)], target(restored)
             )
-            assert all(answer.whole for answer in answers)
+            assert all(answer.complete for answer in answers)
             assert set(restored.read('engine-1', '/log')) == before
         finally:
             live = {'name': 'engine-1', 'state': 'live'}
@@ -133,7 +133,7 @@
         where_again = target(restored, second)
         where_again.seed = 11
         first_answer = send_jobs([order()], where)[0]
-        assert first_answer.whole
+        assert first_answer.complete
         wait_until(
             lambda: send_jobs([order()], where_again)[0].status == 200,
             'the stored answer',
@@ -162,7 +162,7 @@
         restored.order('platform', {'lose_confirmations': 0}, '/admin/store')
         runs = [body for body in service_runs(restored) if 's13n' in body]
         assert len(runs) == len(set(runs))
-        assert len(runs) == sum(answer.whole for answer in answers)
+        assert len(runs) == sum(answer.complete for answer in answers)
         not_run = {a.number for a in answers if a.ran == 'no'}
         assert not [n for n in not_run if f'"order":"s13n{n}"' in str(runs)]
 
@@ -192,7 +192,7 @@
 
     def test_two_operators_at_once(self, restored):
         """Disjoint edits are both accepted; edits of one node conflict."""
-        current = restored.operate('GET', '/tree')
+        current = restored.call_operator_api('GET', '/tree')
         base, tree = current['version'], current['tree']
         first_edit = _edited(tree, 'norte', 'summary', 'max_wait_ms', 50_001)
         second_edit = _edited(tree, 'sur', 'summary', 'max_wait_ms', 50_002)
@@ -204,13 +204,13 @@
         error = restored.propose(conflicting_edit, base)['error']
         assert error['code'] == Code.tree_conflict
         assert error['changed'][0]['new'] == 50_001
-        after = restored.operate('GET', '/tree')['tree']['workspaces']
+        after = restored.call_operator_api('GET', '/tree')['tree']['workspaces']
         assert after['norte']['classes']['summary']['max_wait_ms'] == 50_001
         assert after['sur']['classes']['summary']['max_wait_ms'] == 50_002
 
     def test_edit_with_lost_confirmation_is_accepted_once(self, restored):
         """An edit whose confirmation was lost is recognized by its nonce."""
-        current = restored.operate('GET', '/tree')
+        current = restored.call_operator_api('GET', '/tree')
         base, tree = current['version'], current['tree']
         first_edit = _edited(
             tree, 'plaza', 'summary', 'max_wait_ms', 51_000 + base
@@ -220,13 +220,14 @@
         assert restored.propose(first_edit, base)['version'] == base + 1
         restored.order('platform', {'lose_confirmations': 0}, '/admin/store')
         numbers = [
-            edit['number'] for edit in restored.operate('GET', '/history')
+            edit['number']
+            for edit in restored.call_operator_api('GET', '/history')
         ]
         assert numbers == sorted(set(numbers))
 
     def test_edit_is_in_force_everywhere(self, restored):
         """Every instance adopts the accepted version."""
-        current = restored.operate('GET', '/tree')
+        current = restored.call_operator_api('GET', '/tree')
         base, tree = current['version'], current['tree']
         edited = _edited(tree, 'taller', 'summary', 'max_wait_ms', 52_000)
         number = restored.propose(edited, base)['version']
@@ -245,7 +246,7 @@
         fresh.wait_http(third.callers, '/readyz')
         assert fresh.status(third)['version'] == 1
         answers = send_jobs([counter() for _ in range(4)], target(fresh, third))
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
 
     def test_instance_without_tree_is_not_ready(self, fresh):
         """Without store and peers an instance reports that it is not ready."""
@@ -299,9 +300,9 @@
         jobs = [counter(at_s=number / 20) for number in range(40)]
         answers = send_jobs(jobs, target(fresh, *others))
         broker.process.send_signal(signal.SIGCONT)
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
         fresh.wait_members(3)
-        assert all(answer.whole for answer in send_jobs(jobs, target(fresh)))
+        assert all(answer.complete for answer in send_jobs(jobs, target(fresh)))
 
     def test_entry_is_cut_off_from_one_peer(self, restored):
         """One-way packet loss between two instances fails no request."""
@@ -317,7 +318,7 @@
         )
         jobs = [counter(at_s=number / 20) for number in range(40)]
         answers = send_jobs(jobs, target(restored, other))
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
 
     def test_graceful_stop_cuts_nothing(self, fresh):
         """Open streams complete; a new request is refused as not run."""
@@ -365,7 +366,7 @@
         fresh.start_entry(second)
         fresh.wait_http(second.callers, '/readyz')
         fresh.wait_members(3)
-        assert send_jobs([counter()], target(fresh, second))[0].whole
+        assert send_jobs([counter()], target(fresh, second))[0].complete
 
 
 def _addressed_names(cluster, entry):
@@ -392,8 +393,8 @@
             [counter() for _ in range(4)], target(restored, second)
         )
         assert _waiting(restored) > 0, 'drafts still wait'
-        assert all(answer.whole for answer in answers)
-        assert all(answer.whole for answer in wait())
+        assert all(answer.complete for answer in answers)
+        assert all(answer.complete for answer in wait())
 
 
 def _waiting(cluster):
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -71,7 +71,7 @@
         """Entries reach a single broker over mutual TLS."""
         jobs = [counter(at_s=number / 20) for number in range(12)]
         answers = send_jobs(jobs, target(peers_with_tls))
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
         brokers = [
             entry.name
             for entry in peers_with_tls.entries
