--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -409,7 +409,7 @@
     book = TallyHistory()
     for number in range(200):
         outcome = Outcome(f'workspace-{number}/counter', met=True, first_ms=90)
-        book.note(outcome, 1.0)
+        book.record(outcome, 1.0)
     encoded = encode_counts_after(book, 0, 1)
     size = sum(one.ByteSize() for one in encoded) / len(encoded)
     times = []
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -30,12 +30,12 @@
 # that another's restarting process has just left.
 NETWORK = f'127.{10 + os.getpid() % 200}.{os.getpid() // 200 % 250}'
 HOST = f'{NETWORK}.1'
-PORT_LEAST = 12_000
-PORT_MOST = 32_000
+MIN_PORT = 12_000
+MAX_PORT = 32_000
 _PORTS = itertools.cycle(
     (
-        *range(PORT_LEAST + os.getpid() % 10_000, PORT_MOST),
-        *range(PORT_LEAST, PORT_LEAST + os.getpid() % 10_000),
+        *range(MIN_PORT + os.getpid() % 10_000, MAX_PORT),
+        *range(MIN_PORT, MIN_PORT + os.getpid() % 10_000),
     ),
 )
 
--- a/src/siskinpass/process/broker_client.py
+++ b/src/siskinpass/process/broker_client.py
@@ -81,7 +81,7 @@
         self.broker = ''
 
     @property
-    def open_tickets(self) -> int:
+    def waiting_tickets(self) -> int:
         """Return the number of waiting tickets."""
         return sum(not record.server for record in self._records.values())
 
@@ -151,7 +151,9 @@
         if self._records:
             self._on_session_needed(self)
 
-    def take(self, session: BrokerSession, commands: list[Command]) -> None:
+    def handle_commands(
+        self, session: BrokerSession, commands: list[Command]
+    ) -> None:
         """Handle the broker's commands; those of an old session are ignored."""
         if session is not self._session:
             return
--- a/src/siskinpass/process/counts.py
+++ b/src/siskinpass/process/counts.py
@@ -102,7 +102,7 @@
     def __init__(self) -> None:
         self._seconds: dict[int, dict[str, Tally]] = {}
 
-    def note(self, outcome: Outcome, now_s: float) -> None:
+    def record(self, outcome: Outcome, now_s: float) -> None:
         """Count one outcome.
 
         Outcomes of new nodes are dropped beyond ``MAX_NODES`` in a second.
--- a/src/siskinpass/process/dispatcher.py
+++ b/src/siskinpass/process/dispatcher.py
@@ -187,7 +187,9 @@
 
     def _open_local(self, group: str, client: BrokerClient) -> LocalSession:
         session = LocalSession(self._host, group, self._own)
-        session.on_commands = lambda commands: client.take(session, commands)
+        session.on_commands = lambda commands: client.handle_commands(
+            session, commands
+        )
         return session
 
     def _handle_lost_session(
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -344,7 +344,7 @@
                 first_ms / MS_PER_S,
                 pause_ms / MS_PER_S,
             )
-        self._context.log.often(
+        self._context.log.routine(
             'A request was answered.',
             call=self._call.call_id,
             server=self._server,
@@ -423,7 +423,7 @@
         load = self._context.assigner.server_load(ticket, view.name)
         waited_s = _now_s() - ticket.opened_s
         self._context.metrics.waited(ticket.node, waited_s)
-        self._context.log.often(
+        self._context.log.routine(
             'A request goes to a server.',
             call=self._call.call_id,
             route=ticket.node,
--- a/src/siskinpass/process/logs.py
+++ b/src/siskinpass/process/logs.py
@@ -83,7 +83,7 @@
         self._lines = 0
         self._suppressed: Counter[str] = Counter()
 
-    def often(self, sentence: str, **fields: Any) -> None:
+    def routine(self, sentence: str, **fields: Any) -> None:
         """Log a routine event; lines above the rate limit are suppressed.
 
         The number of suppressed lines is logged in a later period.
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -141,7 +141,7 @@
             RelayContext(
                 settings.name,
                 self._incarnation,
-                self.tree_watch.book,
+                self.tree_watch.current_version,
                 self.dispatcher,
                 self._backends,
                 self.stream_monitor,
@@ -163,7 +163,7 @@
                 settings.name,
                 self._store,
                 self._links,
-                self.tree_watch.book,
+                self.tree_watch.current_version,
                 self._counts,
                 lambda: self.gossip.membership.live,
             ),
@@ -171,7 +171,7 @@
         )
         self._engines = EngineReconciler(
             self._lease,
-            self.tree_watch.book,
+            self.tree_watch.current_version,
             lambda: self._listing.servers,
         )
         self._frontend = Frontend(settings, self, self.relay)
@@ -223,13 +223,13 @@
         """Return why this instance is not ready, ``None`` if it is ready."""
         if self._leaving:
             return Code.instance_leaving
-        if self.tree_watch.book.current is None:
+        if self.tree_watch.current_version.current is None:
             return Code.no_tree_in_force
         return None
 
     def models(self) -> list[str]:
         """Return the names of the models of all pools, sorted."""
-        version = self.tree_watch.book.current
+        version = self.tree_watch.current_version.current
         if version is None:
             return []
         pools = version.tree.root.pools.values()
@@ -240,7 +240,7 @@
 
         :returns: ``(0, {})`` before the first version.
         """
-        version = self.tree_watch.book.current
+        version = self.tree_watch.current_version.current
         if version is None:
             return 0, {}
         return version.number, tree_mapping(version.tree)
@@ -249,7 +249,7 @@
         """Return the status document for operators, as known here."""
         versions = describe_versions(
             self.gossip.membership.members,
-            self.tree_watch.book.number,
+            self.tree_watch.current_version.number,
         )
         return {
             'instance': self._settings.name,
@@ -266,7 +266,9 @@
         metrics.set_state('open_requests', self.relay.open_requests)
         metrics.set_state('open_streams', self.stream_monitor.open_streams)
         metrics.set_state('live_instances', len(self.gossip.membership.live))
-        metrics.set_state('tree_version', self.tree_watch.book.number)
+        metrics.set_state(
+            'tree_version', self.tree_watch.current_version.number
+        )
         metrics.set_state('peer_bytes_sent', self.gossip.bytes_sent)
         metrics.set_state('peer_packets_sent', self.gossip.packets_sent)
         return metrics.render()
@@ -295,9 +297,9 @@
         :returns: the number in force and the tree as YAML, or an empty text
             where it is not newer than the peer's.
         """
-        version = self.tree_watch.book.current
+        version = self.tree_watch.current_version.current
         if version is None or version.number <= number:
-            return self.tree_watch.book.number, ''
+            return self.tree_watch.current_version.number, ''
         return version.number, version.text
 
     def counts_after(self, second: int) -> pb.CountsReply:
@@ -407,14 +409,14 @@
     def _announce_self(self) -> None:
         self.gossip.update_own_state(
             leaving=self._leaving,
-            tree_version=self.tree_watch.book.number,
+            tree_version=self.tree_watch.current_version.number,
         )
 
     def _address_of(self, server: str) -> str:
         return self._addresses.get(server, '')
 
     def _policy_for(self, group: str) -> BrokerPolicy:
-        version = self.tree_watch.book.current
+        version = self.tree_watch.current_version.current
         pool = Pool()
         if version is not None:
             name = group.removeprefix(FALLBACK_PREFIX)
--- a/src/siskinpass/process/relay.py
+++ b/src/siskinpass/process/relay.py
@@ -271,7 +271,7 @@
             self._context.metrics.answered(call.node, outcome.tokens)
         class_settings = call.class_settings
         met = outcome.code is None and outcome.meets_targets(class_settings)
-        self._context.counts.note(
+        self._context.counts.record(
             Outcome(
                 call.node,
                 met,
--- a/src/siskinpass/process/remote_session.py
+++ b/src/siskinpass/process/remote_session.py
@@ -90,7 +90,7 @@
             if batch is None or not self._handle_acknowledgement(batch.heard):
                 return
             if batch.messages:
-                self._broker_client.take(
+                self._broker_client.handle_commands(
                     self,
                     [
                         decode_command(message, self._own)
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -87,7 +87,7 @@
 
     :param name: name of this instance.
     :param budget: retry budgets of the request classes.
-    :param note_retry: counts a retry by its reason.
+    :param count_retry: counts a retry by its reason.
     :param address_of: returns the address of a backend server, empty where it
         is not listed.
     :param sends_priority: whether engines are sent the tier as a priority;
@@ -99,7 +99,7 @@
     backends: BackendPool
     stream_monitor: StreamMonitor
     budget: RetryBudget
-    note_retry: Callable[[Code], None]
+    count_retry: Callable[[Code], None]
     address_of: Callable[[str], str]
     sends_priority: bool
 
@@ -382,7 +382,7 @@
                 str(error),
                 BACKEND_RETRY_MS,
             ) from error
-        self._context.note_retry(RETRY_REASONS.get(error.code, error.code))
+        self._context.count_retry(RETRY_REASONS.get(error.code, error.code))
 
     def _uses_retry_budget(self, error: BackendError) -> bool:
         """Return whether a retry counts against the retry budget.
--- a/src/siskinpass/process/store.py
+++ b/src/siskinpass/process/store.py
@@ -143,7 +143,7 @@
     ) -> int:
         return await self._call(
             'write',
-            self._put,
+            self._send_write,
             method,
             key,
             body,
@@ -185,7 +185,7 @@
             raise StoreError(Code.store_down, f'status {answer.status}')
         return list(answer.json())
 
-    def _put(
+    def _send_write(
         self,
         method: str,
         key: str,
--- a/src/siskinpass/process/treewatch.py
+++ b/src/siskinpass/process/treewatch.py
@@ -51,28 +51,29 @@
         self._repository = repository
         self._links = links
         self._on_version = on_version
-        self._version = CurrentVersion()
+        self._current_version = CurrentVersion()
         self._members: tuple[Member, ...] = ()
         self._newer_announced = asyncio.Event()
         self._stored_version = 0
         self._log = ComponentLog('tree')
 
     @property
-    def book(self) -> CurrentVersion:
+    def current_version(self) -> CurrentVersion:
         """Return the holder of the version in force."""
-        return self._version
+        return self._current_version
 
     def update_members(self, members: tuple[Member, ...]) -> None:
         """Replace the live members, with the versions in force there."""
         self._members = members
         if any(
-            member.tree_version > self._version.number for member in members
+            member.tree_version > self._current_version.number
+            for member in members
         ):
             self._newer_announced.set()
 
     def adopt_if_newer(self, version: TreeVersion) -> None:
         """Put a version in force if its number is higher than the current."""
-        if self._version.adopt_if_newer(version):
+        if self._current_version.adopt_if_newer(version):
             self._log.note('A version is in force.', number=version.number)
             self._on_version(version)
 
@@ -82,7 +83,9 @@
 
     async def _follow_store(self) -> None:
         while True:
-            if not (self._is_watcher() or self._version.current is None):
+            if not (
+                self._is_watcher() or self._current_version.current is None
+            ):
                 await asyncio.sleep(WATCHER_CHECK_S)
                 continue
             try:
@@ -94,7 +97,7 @@
                 await asyncio.sleep(RETRY_S)
 
     async def _read_store(self) -> None:
-        if self._version.current is None:
+        if self._current_version.current is None:
             self._stored_version = 0
         wait_s = WATCH_TIMEOUT_S if self._is_watcher() else 0.1
         stored = await self._repository.watch(self._stored_version, wait_s)
@@ -120,7 +123,7 @@
                 self._newer_announced.set()
 
     def _members_ahead(self) -> list[Member]:
-        number = self._version.number
+        number = self._current_version.number
         return [
             member
             for member in self._members
@@ -128,14 +131,14 @@
         ]
 
     async def _read_peer(self, member: Member) -> bool:
-        request = pb.TreeRequest(newer_than=self._version.number)
+        request = pb.TreeRequest(newer_than=self._current_version.number)
         try:
             stub = self._links.stub(member.name)
             reply = await stub.ReadTree(request, timeout=CALL_TIMEOUT_S)
         except PEER_ERRORS:
             self._links.drop(member.name)
             return False
-        if reply.version <= self._version.number:
+        if reply.version <= self._current_version.number:
             return False
         try:
             version = load_version(reply.version, reply.text)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -175,7 +175,7 @@
 
 
 @dataclass(slots=True)
-class Worker:
+class BackendServer:
     """Backend server that records the requests it runs.
 
     :param gap_s: pause before each event of a stream.
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from standins.fleet import ObjectStore, Worker
+from standins.fleet import BackendServer, ObjectStore
 from standins.http_server import serve
 
 WAIT_S = 20.0
@@ -102,7 +102,7 @@
     """
 
     store: ObjectStore
-    servers: list[Worker]
+    servers: list[BackendServer]
     ports: dict[str, list[int]] = field(default_factory=dict)
     logs: dict[str, Path] = field(default_factory=dict)
     processes: dict[str, asyncio.subprocess.Process] = field(
@@ -250,7 +250,7 @@
         fleet.ports['store'] = free_ports(1)
         await _listen(stack, fleet.store, fleet.ports['store'][0])
         for number in range(servers):
-            server = Worker(f'i-{number}')
+            server = BackendServer(f'i-{number}')
             fleet.servers.append(server)
             port = free_ports(1)[0]
             await _listen(stack, server, port)
--- a/tests/test_breach.py
+++ b/tests/test_breach.py
@@ -101,8 +101,8 @@
     def test_window_and_merge(self):
         """Tallies of two instances are added per second."""
         one, other = TallyHistory(), TallyHistory()
-        one.note(Outcome('w/c', met=True, first_ms=30), 5.2)
-        other.note(Outcome('w/c', met=False, first_ms=900), 5.9)
+        one.record(Outcome('w/c', met=True, first_ms=30), 5.2)
+        other.record(Outcome('w/c', met=False, first_ms=900), 5.9)
         for second, node, tally in other.after(0):
             one.add(second, node, tally)
         found = merge(one.window('w/c', 6, 3))
@@ -114,5 +114,5 @@
         """The number of stored seconds is bounded."""
         counts = TallyHistory()
         for second in range(500):
-            counts.note(Outcome('w/c', met=True), float(second))
+            counts.record(Outcome('w/c', met=True), float(second))
         assert len(list(counts.after(0))) <= 41
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -17,16 +17,16 @@
 
 async def cut_by_crash(fleet):
     """Cut a stream that must not be resumed."""
-    for worker in fleet.servers:
-        worker.faults.cuts = 1
+    for server in fleet.servers:
+        server.faults.cuts = 1
     answer = await fleet.ask('/plain-stream/x', call=CALL_ID)
     assert not answer.is_whole
 
 
 async def refused_under_load(fleet):
     """Fill every slot, so that another request waits until it is refused."""
-    for worker in fleet.servers:
-        worker.faults.silent = OTHER_COUNT
+    for server in fleet.servers:
+        server.faults.silent = OTHER_COUNT
     tasks = [
         asyncio.ensure_future(fleet.ask('/once/x', call=f'other-{number}'))
         for number in range(OTHER_COUNT)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -58,10 +58,10 @@
         monkeypatch.setattr(logs.time, 'monotonic', lambda: now[0])
         log = logs.ComponentLog('component')
         for _ in range(logs.MAX_ROUTINE_LINES + 7):
-            log.often('Routine.')
+            log.routine('Routine.')
         log.warn('A failure.')
         assert len(logged) == logs.MAX_ROUTINE_LINES + 1
         now[0] += logs.RATE_PERIOD_S
-        log.often('Routine.')
+        log.routine('Routine.')
         counted = [fields for fields in logged if 'lines' in fields]
         assert [fields['lines'] for fields in counted] == [7]
