--- a/src/siskinpass/process/__init__.py
+++ b/src/siskinpass/process/__init__.py
@@ -1,1 +1,1 @@
-"""Parts that live as long as the process."""
+"""The daemon of one entry instance: coordination, request handling and I/O."""
--- a/src/siskinpass/process/attempt.py
+++ b/src/siskinpass/process/attempt.py
@@ -29,7 +29,9 @@
     :param forward: is called with each piece that may be passed on.
     :ivar finished: completed when the attempt has ended; holds the error if it
         failed.
-    :ivar sent_s: when the request was sent.
+    :ivar status: HTTP status of the answer, 0 before its head has arrived.
+    :ivar headers: headers of the answer, by name in lower case.
+    :ivar sent_s: when the request was sent, on the event loop's clock.
     :ivar first_token_s: when the first token arrived, 0 before it.
     :ivar stalled_s: since when the caller does not read, 0 while it reads.
     """
@@ -129,9 +131,10 @@
         self.abort(CallerDisconnectedError(Code.stream_cut))
 
     def set_reading(self, *, on: bool) -> None:
-        """Pause or resume reading from the backend server.
+        """Pause or resume reading, to match the speed of the caller.
 
-        :param on: whether the caller takes data.
+        A pause also sets ``stalled_s``, from which the time-out of a caller
+        that does not read is measured.
         """
         self.stalled_s = 0.0 if on else self._loop.time()
         if self._connection is not None:
--- a/src/siskinpass/process/broker.py
+++ b/src/siskinpass/process/broker.py
@@ -36,7 +36,7 @@
 from siskinpass.request.ticket_queue import WaitingTickets
 
 MS_PER_S = 1000
-MIN_RETRY_MS = 200  # smallest delay that a refusal asks for
+MIN_RETRY_MS = 200  # shortest delay before a retry that a refusal asks for
 # Tickets tried per tier in one pass, so that a ticket that no server can take
 # now does not block the tickets behind it.
 MAX_CANDIDATES = 64
@@ -58,7 +58,8 @@
     :param at_random: whether placement picks a random server with a free slot.
     :param chooser: chooses among the servers with a free slot, in place of
         the built-in placement.
-    :param moves: whether streams are moved off servers that became slow.
+    :param moves: whether servers that became slow are marked as such and
+        streams are moved off them.
     :param kv_capacity_tokens: KV cache capacity of each engine in tokens.
     :param probe_after: consecutive failures after which a server gets only
         one request at a time.
--- a/src/siskinpass/process/claims.py
+++ b/src/siskinpass/process/claims.py
@@ -29,12 +29,15 @@
     decide_claim,
 )
 
+# Age up to which the request of an open claim may still be running. The outcome
+# of an older one counts as unknown.
 OPEN_CLAIM_S = 60.0
-EXPIRY_S = 86_400.0
-WRITE_RETRY_S = 1.0
+EXPIRY_S = 86_400.0  # age above which claims are deleted
+WRITE_RETRY_S = 1.0  # time between retries of failed writes
 EXPIRY_INTERVAL_S = 600.0
-RETRY_AFTER_MS = 1000
-MAX_UNSETTLED = 2000
+RETRY_AFTER_MS = 1000  # delay before a retry that a refusal asks for
+MAX_UNSETTLED = 2000  # failed writes kept for a retry; the oldest are dropped
+# Attempts to create a claim if the outcome of each one stays unknown.
 CREATE_ATTEMPTS = 3
 PREFIX = 'claims/'
 DIGEST_BYTES = 16
@@ -89,7 +92,7 @@
 
     @property
     def unsettled(self) -> int:
-        """Return the number of outcomes that are still to be written."""
+        """Return the number of failed writes that wait for a retry."""
         return len(self._unsettled)
 
     async def acquire(self, call: Call) -> HeldClaim | Replay:
@@ -188,6 +191,7 @@
     ) -> HeldClaim | Replay:
         stored = await self._store.read(key)
         if stored is None:
+            # It was deleted in the meantime; acquire() tries again.
             raise StoreUnconfirmedError(
                 Code.edit_unconfirmed, 'claim not found'
             )
@@ -244,7 +248,8 @@
 
     def _queue_write(self, held: HeldClaim) -> None:
         # An unconfirmed write may have changed the version, so the retry
-        # identifies the claim by its nonce.
+        # identifies the claim by its nonce. A claim that is still open was not
+        # confirmed, so its request was refused without running.
         claim = held.claim
         if claim.state is ClaimState.open:
             claim = replace(claim, state=ClaimState.not_run)
--- a/src/siskinpass/process/counts.py
+++ b/src/siskinpass/process/counts.py
@@ -8,8 +8,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-RETENTION_S = 40
-MAX_NODES = 8000
+RETENTION_S = 40  # time for which the tallies of a second are kept
+MAX_NODES = 8000  # nodes with a tally in one second
+# Upper bounds of the buckets of the time to first token, in ms.
 FIRST_TOKEN_BOUNDS_MS = (
     10,
     20,
@@ -103,7 +104,7 @@
         self._seconds: dict[int, dict[str, Tally]] = {}
 
     def record(self, outcome: Outcome, now_s: float) -> None:
-        """Count one outcome.
+        """Record one outcome.
 
         Outcomes of new nodes are dropped beyond ``MAX_NODES`` in a second.
 
--- a/src/siskinpass/process/discovery.py
+++ b/src/siskinpass/process/discovery.py
@@ -16,8 +16,8 @@
 from siskinpass.process.logs import ComponentLog
 from siskinpass.request.ticket import ServerView
 
-ENTRY = 'entry'
-LEAVING = 'leaving'
+ENTRY = 'entry'  # role of entry instances
+LEAVING = 'leaving'  # state of a leaving instance
 TIMEOUT_S = 2.0
 POLL_INTERVAL_S = 1.0
 STATUS_OK = 200
--- a/src/siskinpass/process/dispatcher.py
+++ b/src/siskinpass/process/dispatcher.py
@@ -17,6 +17,8 @@
 from siskinpass.process.rendezvous import holder
 from siskinpass.request.ticket import Command, Event, Ticket, TokensObserved
 
+# Time for which an instance counts as unreachable after a session with its
+# broker was lost.
 UNREACHABLE_TTL_S = 2.0
 
 # Opens a session with the broker of the client's group at the named instance.
@@ -77,8 +79,8 @@
         :param own: name of this instance.
         :param host: the brokers of this instance.
         :param open_session: opens a session with another instance.
-        :param count_retry: called with the code of a retry whenever a client
-            switches to another broker.
+        :param count_retry: called with ``retry_broker_changed`` for each client
+            whose broker has moved or whose session was lost.
         """
         self._own = own
         self._host = host
@@ -102,7 +104,7 @@
         return self._clients.values()
 
     def ask(self, ticket: Ticket, listener: TicketListener) -> None:
-        """Open a ticket in the ticket's pool.
+        """Open a ticket with the broker of its pool.
 
         :param listener: called with the broker's decisions on it.
         """
@@ -135,10 +137,9 @@
             self._reattach_if_moved(client)
 
     def recheck(self) -> None:
-        """Switch clients from a fallback back to the broker where it is due.
+        """Switch clients back from a fallback once their broker may be tried.
 
-        A broker is tried again ``UNREACHABLE_TTL_S`` after its session was
-        lost.
+        That is ``UNREACHABLE_TTL_S`` after the session was lost.
         """
         for client in self._clients.values():
             self._reattach_if_moved(client)
--- a/src/siskinpass/process/engines.py
+++ b/src/siskinpass/process/engines.py
@@ -21,7 +21,7 @@
 ORDER_TIMEOUT_S = 30.0
 STATUS_OK = 200
 STATUS_CONFLICT = 409
-ENGINE = 'engine'
+ENGINE = 'engine'  # kind of the pools whose servers load models
 
 
 class EngineReconciler:
--- a/src/siskinpass/process/fleet/store_client.py
+++ b/src/siskinpass/process/fleet/store_client.py
@@ -20,7 +20,8 @@
 )
 from siskinpass.platform import objects
 
-# Twenty times the response time that the platform states, 50 ms.
+# Far above the store's stated response time of 4 ms, because the store can be
+# slow.
 CALL_TIMEOUT_S = 1.0
 # A watch is aborted if it has not answered this long after its requested wait.
 WATCH_MARGIN_S = 0.5
--- a/src/siskinpass/process/frontend.py
+++ b/src/siskinpass/process/frontend.py
@@ -20,9 +20,9 @@
 from siskinpass.request.call import CHAT_PATH, SERVICE_PREFIX, TEXT_PATH
 from siskinpass.request.head import RequestHead
 
-ADDRESS_TTL_S = 15
+ADDRESS_TTL_S = 15  # time for which callers may cache an address
 OPERATOR_THREADS = 2
-MAX_CONNECTIONS = 12_000
+MAX_CONNECTIONS = 12_000  # of callers and operators together
 BACKLOG = 4096
 RELAYED_PATHS = (CHAT_PATH, TEXT_PATH, SERVICE_PREFIX)
 
--- a/src/siskinpass/process/hosting.py
+++ b/src/siskinpass/process/hosting.py
@@ -20,7 +20,9 @@
 )
 
 TICK_S = 0.05
+# Time after the end of a session for which its tickets and grants stay valid.
 SESSION_GRACE_S = 1.0
+# Time after which a broker without sessions is deleted.
 IDLE_BROKER_TTL_S = 30.0
 # Name prefix of a local broker that stands in while the group's own broker
 # cannot be reached.
--- a/src/siskinpass/process/known_servers.py
+++ b/src/siskinpass/process/known_servers.py
@@ -2,9 +2,8 @@
 
 Pure logic. During an outage of the registry (the platform's object store) its
 entries may expire although the servers are alive; the entries reappear soon
-after the registry answers again.
-A server whose entry is missing is still used for a grace period after an
-outage, and removed after that.
+after the registry answers again. A server whose entry is missing is therefore
+still used for a grace period after an outage, and removed after that.
 """
 
 from collections.abc import Iterable
@@ -43,7 +42,7 @@
     def mark_unreachable(self, now_s: float) -> None:
         """Record that the registry does not answer.
 
-        Repeated calls during an outage keep its first time.
+        The outage begins with the first call; further calls change nothing.
         """
         if self._outage_start_s is None:
             self._outage_start_s = now_s
--- a/src/siskinpass/process/lease.py
+++ b/src/siskinpass/process/lease.py
@@ -131,7 +131,7 @@
     def write_failed(self) -> None:
         """Record that a write failed or has an unknown outcome.
 
-        The validity of the lease is not extended. The next reading shows the
-        current state of the object.
+        The validity of the lease is not extended. The version of the object is
+        then unknown, so that it cannot be replaced before the next reading.
         """
         self._version = -1
--- a/src/siskinpass/process/limits.py
+++ b/src/siskinpass/process/limits.py
@@ -31,7 +31,7 @@
 FAST_GROWTH = 0.25  # slots for each observed token
 SLOW_GROWTH = 0.15  # the same, divided by the current limit
 BUSY_FRACTION = 0.75  # of the slots, in use before the limit may grow
-STALE_AFTER_S = 3.0
+STALE_AFTER_S = 3.0  # time after which the last observation is too old
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/siskinpass/process/logs.py
+++ b/src/siskinpass/process/logs.py
@@ -72,7 +72,7 @@
 
 
 class ComponentLog:
-    """Log of one component of the process.
+    """Writer of the log lines of one component of the process.
 
     :param component: prefix of its message types, such as ``relay``.
     """
--- a/src/siskinpass/process/membership.py
+++ b/src/siskinpass/process/membership.py
@@ -41,7 +41,7 @@
 
 # Number of packets on which each change of a member's state is sent.
 UPDATE_REPEATS = 8
-MAX_SEED_PINGS = 3
+MAX_SEED_PINGS = 3  # per probe interval
 
 
 @dataclass(frozen=True, slots=True)
@@ -377,6 +377,7 @@
         if entry is None:
             return
         self._sequence += 1
+        # Bounds the memory for probes that are never acknowledged.
         if len(self._indirect) > 100:
             self._indirect.clear()
         self._indirect[self._sequence] = (packet.sender.name, packet.sequence)
@@ -408,10 +409,11 @@
         self._outgoing.append(SendPacket(receiver.peer_address, packet))
 
     def _select_news(self, receiver: Member) -> tuple[Member, ...]:
-        """Return the member states that were sent least often.
+        """Return the member states that were sent least often since a change.
 
-        A suspect or dead receiver also gets its own state, since it can refute
-        only a suspicion that it knows of.
+        States that were sent ``UPDATE_REPEATS`` times are left out. A suspect
+        or dead receiver also gets its own state, since it can refute only a
+        suspicion that it knows of.
         """
         selected = sorted(
             (
--- a/src/siskinpass/process/metrics.py
+++ b/src/siskinpass/process/metrics.py
@@ -6,8 +6,9 @@
 
 from siskinpass.codes import Code
 
-# Bucket bounds in seconds. They include the latency targets and the longest
-# allowed pauses of the platform's specification sheets.
+# Bucket bounds in seconds. They include the latency targets (0.2, 0.5, 0.8 and
+# 2.5 s) and the longest allowed pauses (0.2, 0.3 and 0.8 s) of the request
+# classes that the metrics were built for.
 BUCKETS_S = (
     0.02,
     0.05,
--- a/src/siskinpass/process/node.py
+++ b/src/siskinpass/process/node.py
@@ -59,7 +59,10 @@
 from siskinpass.version.schema import Pool
 from siskinpass.version.tree_version import TreeVersion
 
-RECHECK_INTERVAL_S = 0.5
+RECHECK_INTERVAL_S = 0.5  # time between two checks for moved brokers
+# Time between the announcement of leaving and the refusal of new requests, in
+# which the other instances stop returning this one to callers. New requests are
+# then refused for at least as long before the process ends.
 LEAVE_NOTICE_S = 1.0
 NS_PER_MS = 1_000_000
 
@@ -196,9 +199,10 @@
         self.start_drain()
 
     def start_drain(self) -> None:
-        """Begin to leave: refuse new requests, finish the open ones, then stop.
+        """Begin to leave, and stop once the open requests are answered.
 
-        Does nothing if the instance is already leaving.
+        New requests are still served for ``LEAVE_NOTICE_S``, and refused after
+        that. Does nothing if the instance is already leaving.
         """
         if self._leaving:
             return
--- a/src/siskinpass/process/overview.py
+++ b/src/siskinpass/process/overview.py
@@ -7,6 +7,7 @@
 from siskinpass.process.membership import DEAD, Member
 
 MS_PER_S = 1000
+# Names of the states in the status document, by the number of the state.
 STATES = ('live', 'suspect', 'leaving', 'dead')
 
 
--- a/src/siskinpass/process/peer_server.py
+++ b/src/siskinpass/process/peer_server.py
@@ -17,7 +17,7 @@
 from siskinpass.process.session_wire import STREAM_ERRORS, Outbox
 from siskinpass.request.ticket import Command
 
-ENTRY_TIMEOUT_S = 2.0
+ENTRY_TIMEOUT_S = 2.0  # silence after which an entry counts as lost
 
 
 class PeerState(Protocol):
--- a/src/siskinpass/process/placement.py
+++ b/src/siskinpass/process/placement.py
@@ -345,6 +345,7 @@
     load = float(server.running)
     if server.view.name == holder and not server.slow:
         load -= AFFINITY_SLOTS
+    # AFFINITY_SLOTS is added for all servers, so that the cost stays above 0.
     cost = (load + AFFINITY_SLOTS + 1) / max(1, server.limit.slots)
     if server.limit.token_s > 0:
         cost *= server.limit.token_s
--- a/src/siskinpass/process/remote_session.py
+++ b/src/siskinpass/process/remote_session.py
@@ -17,6 +17,8 @@
 from siskinpass.process.session_wire import STREAM_ERRORS, Outbox
 from siskinpass.request.ticket import Event
 
+# Three heartbeat intervals. A session in which nothing is received or
+# acknowledged for this long is lost.
 SILENCE_TIMEOUT_S = 0.45
 
 
--- a/src/siskinpass/process/request_timeline.py
+++ b/src/siskinpass/process/request_timeline.py
@@ -28,6 +28,8 @@
         'call',
     ),
 )
+# Components whose lines are shown as context: those about a server of the
+# request, and those of the request's instance that name no server.
 SERVER_COMPONENTS = frozenset(('state',))
 INSTANCE_COMPONENTS = frozenset(('state', 'store', 'node'))
 # Sentences that are logged when a request fails. They are used both to write
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -33,13 +33,17 @@
 
 MS_PER_S = 1000
 MAX_ATTEMPTS = 16
-MAX_PAUSES = 3
+MAX_PAUSES = 3  # pauses and moves of one request
+# Delay before a retry that callers are asked for once the budget is spent.
 BACKEND_RETRY_MS = 500
+# Limit of an answer that is collected before it is sent.
 MAX_ANSWER_BYTES = 8_388_608
 
 # Reasons for ending an attempt that do not count as failures of its backend
 # server.
 NOT_SERVER_FAULTS = frozenset((Code.retry_paused, Code.retry_backend_slow))
+# Codes under which retries are counted, by the code of the failed attempt. A
+# code that is not listed is counted itself.
 RETRY_REASONS = MappingProxyType({
     Code.backend_unreachable: Code.retry_connect_failed,
     Code.stream_cut: Code.retry_stream_cut,
--- a/src/siskinpass/process/serve.py
+++ b/src/siskinpass/process/serve.py
@@ -1,4 +1,4 @@
-"""Process of one entry instance."""
+"""Run one entry instance as a process, until it is told to stop."""
 
 import asyncio
 import os
--- a/src/siskinpass/process/session_wire.py
+++ b/src/siskinpass/process/session_wire.py
@@ -9,7 +9,7 @@
     StreamTerminatedError,
 )
 
-HEARTBEAT_S = 0.15
+HEARTBEAT_S = 0.15  # time without messages before an empty batch is sent
 STREAM_ERRORS = (
     GRPCError,
     ProtocolError,
--- a/src/siskinpass/process/settings.py
+++ b/src/siskinpass/process/settings.py
@@ -24,6 +24,8 @@
 
     Addresses are ``ip:port``.
 
+    :param name: name of the instance, made of letters, digits and dashes.
+    :param zone: availability zone of the instance.
     :param callers: address that callers connect to.
     :param operators: address that operators connect to.
     :param peers: address for heartbeats and broker sessions.
@@ -32,6 +34,17 @@
     :param announced_peers: address that other instances use for this one, if
         not ``peers``.
     :param platform: address of the object store and the list of instances.
+    :param operator_key: secret that operators' requests must present.
+    :param peer_key: secret that all instances share.
+    :param certificate: certificate for callers and operators, ``None`` to
+        serve them without TLS.
+    :param private_key: key of ``certificate``, ``None`` if it is in that file.
+    :param peer_certificate: certificate for the connections between instances,
+        ``None`` to make them without TLS.
+    :param peer_private_key: key of ``peer_certificate``, ``None`` if it is in
+        that file.
+    :param peer_authority: certificates of the authorities that sign the
+        certificates of other instances; required with ``peer_certificate``.
     :param threads: request threads of CherryPy's server.
     :param decisions: ``shared`` for one broker for all instances. The others
         are baselines in which each instance decides on its own:
--- a/src/siskinpass/process/status.py
+++ b/src/siskinpass/process/status.py
@@ -38,7 +38,7 @@
 INTERVAL_S = 1.0
 READ_INTERVAL_S = 2.0
 CALL_TIMEOUT_S = 0.8
-MAX_ALARMS = 200
+MAX_ALARMS = 200  # latest alarms kept in the document
 MEDIAN = 0.5
 TAIL = 0.95
 
--- a/src/siskinpass/process/store.py
+++ b/src/siskinpass/process/store.py
@@ -28,6 +28,7 @@
 THREADS = 6
 CONNECT_TIMEOUT_S = 0.5
 READ_TIMEOUT_S = 2.0
+# A watch times out this long after its requested wait.
 WATCH_MARGIN_S = 2.0
 MAX_OPEN_CALLS = 64
 
@@ -52,8 +53,8 @@
 class Store:
     """Client for versioned objects with conditional writes.
 
-    Every method raises :exc:`StoreError` if the store is unreachable or
-    returns an error, or if ``MAX_OPEN_CALLS`` are already open.
+    Every call to the store raises :exc:`StoreError` if the store is unreachable
+    or returns an error, or if ``MAX_OPEN_CALLS`` are already open.
     """
 
     def __init__(
--- a/src/siskinpass/process/store_lease.py
+++ b/src/siskinpass/process/store_lease.py
@@ -9,7 +9,7 @@
 
 STATUS_LEASE_KEY = 'leases/status'
 LEASE_LENGTH_S = 6.0
-MARGIN_S = 1.5
+MARGIN_S = 1.5  # time before its end from which the lease is not relied on
 RENEWAL_INTERVAL_S = 2.0
 
 
--- a/src/siskinpass/process/treewatch.py
+++ b/src/siskinpass/process/treewatch.py
@@ -1,7 +1,8 @@
 """Keep the newest accepted version of the settings tree in force.
 
 A few instances watch the store. The others learn of a new version from the
-heartbeats, and read it from an instance that announces it.
+heartbeats, and read it from an instance that announces it. An instance without
+a version also reads the store.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 from siskinpass.version.repository import TreeRepository, load_version
 from siskinpass.version.tree_version import CurrentVersion, TreeVersion
 
-WATCHER_COUNT = 2
+WATCHER_COUNT = 2  # instances that watch the store
 WATCH_TIMEOUT_S = 10.0
 RETRY_S = 0.5
 WATCHER_CHECK_S = 0.5
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,7 +1,8 @@
 """Run one stand-in as a process: ``python -m standins KIND ADDRESS JSON``.
 
 KIND is ``engine``, ``service`` or ``platform``; any other word starts the
-fault-injecting proxies. ADDRESS is ``host:port``, JSON holds the options.
+fault-injecting proxies. ADDRESS is ``host:port``. JSON holds the options, or
+the routes of the proxies.
 """
 
 import sys
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Fake platform for fleet instances: its object store and its workers.
+"""Fake platform for fleet instances: its object store and backend servers.
 
 Unlike the other stand-ins these run in the process of the test, which sets
 their faults as attributes.
@@ -44,7 +44,7 @@
         self.stalls_watches = False
 
     async def put(self, kind: str, name: str, spec: Any) -> None:
-        """Write an object on behalf of an operator or a worker."""
+        """Write an object for an operator or a backend server."""
         self._revision = next(self._revisions)
         stored = {
             'metadata': {'name': name, 'revision': self._revision},
@@ -155,7 +155,7 @@
 
 @dataclass(slots=True)
 class Faults:
-    """Number of coming requests on which a worker shows each fault.
+    """Number of coming requests on which a backend server has each fault.
 
     :param declines: requests not run and answered 503 with the header that
         says so.
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -378,7 +378,7 @@
     """Test that requests of upper tiers do not wait behind lower ones."""
 
     def test_counter_passes_waiting_patterns_of_other_entries(self, restored):
-        """Drafts at one entry do not delay a counter request at another."""
+        """Patterns at one entry do not delay a counter request at another."""
         first, second = restored.entries[:2]
         wait = in_background(
             [pattern(tokens=120) for _ in range(120)],
@@ -386,12 +386,12 @@
         )
         wait_until(
             lambda: _waiting(restored) >= 10,
-            'drafts to wait at the broker',
+            'patterns to wait at the broker',
         )
         answers = send_jobs(
             [counter() for _ in range(4)], target(restored, second)
         )
-        assert _waiting(restored) > 0, 'drafts still wait'
+        assert _waiting(restored) > 0, 'patterns still wait'
         assert all(answer.whole for answer in answers)
         assert all(answer.whole for answer in wait())
 
