--- a/src/siskinpass/process/engines.py
+++ b/src/siskinpass/process/engines.py
@@ -18,7 +18,7 @@
 
 INTERVAL_S = 2.0
 REPORT_TIMEOUT_S = 1.0
-ORDER_TIMEOUT_S = 30.0
+ORDER_TIMEOUT_S = 30.0  # an engine answers once the models are loaded
 STATUS_OK = 200
 STATUS_CONFLICT = 409
 ENGINE = 'engine'  # kind of the pools whose servers load models
--- a/src/siskinpass/process/pages.py
+++ b/src/siskinpass/process/pages.py
@@ -21,7 +21,7 @@
 from siskinpass.version.edit import ConflictError, diff
 from siskinpass.version.repository import Edit, Proposal, make_version
 
-# Time that a page waits for its coroutine. After it, the outcome is unknown.
+# Time that a page waits for its coroutine before it answers edit_unconfirmed.
 LOOP_TIMEOUT_S = 15.0
 OPERATOR_HEADER = 'X-Siskinpass-Operator-Key'
 STATUS_UNREADY = 503
--- a/src/siskinpass/process/serve.py
+++ b/src/siskinpass/process/serve.py
@@ -1,4 +1,4 @@
-"""Run one entry instance as a process, until it is told to stop."""
+"""Run one entry instance as a process, until SIGTERM or SIGINT."""
 
 import asyncio
 import os
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -208,6 +208,7 @@
         # 8 characters each.
         length = len(sequence.prompt) + 8 * sequence.start_index
         prefix = sequence.prompt[:256]
+        # With a cached prefix, at most 256 characters count.
         if prefix in self._cache:
             self._cache.move_to_end(prefix)
             length = min(length, 256)
