--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -435,7 +435,7 @@
     book = TallyHistory()
     for number in range(200):
         outcome = Outcome(f'workspace-{number}/counter', met=True, first_ms=90)
-        book.note(outcome, 1.0)
+        book.record(outcome, 1.0)
     encoded = encode_counts_after(book, 0, 1)
     size = sum(sample.ByteSize() for sample in encoded) / len(encoded)
     times = []
--- a/src/siskinpass/process/counts.py
+++ b/src/siskinpass/process/counts.py
@@ -8,8 +8,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-RETENTION_S = 40
-MAX_NODES = 8000
+RETENTION_S = 40  # time for which the tallies of a second are kept
+MAX_NODES = 8000  # nodes with a tally in one second
+# Upper bounds of the buckets of the time to first token, in ms.
 FIRST_TOKEN_BOUNDS_MS = (
     10,
     20,
@@ -102,8 +103,8 @@
     def __init__(self) -> None:
         self._seconds: dict[int, dict[str, Tally]] = {}
 
-    def note(self, outcome: Outcome, now_s: float) -> None:
-        """Count one outcome.
+    def record(self, outcome: Outcome, now_s: float) -> None:
+        """Record one outcome.
 
         Outcomes of new nodes are dropped beyond ``MAX_NODES`` in a second.
 
--- a/src/siskinpass/process/remote_session.py
+++ b/src/siskinpass/process/remote_session.py
@@ -17,6 +17,8 @@
 from siskinpass.process.session_wire import STREAM_ERRORS, Outbox
 from siskinpass.request.ticket import Event
 
+# Three heartbeat intervals. A session in which nothing is received or
+# acknowledged for this long is lost.
 SILENCE_TIMEOUT_S = 0.45
 
 
@@ -90,7 +92,7 @@
             if batch is None or not self._handle_acknowledgement(batch.heard):
                 return
             if batch.messages:
-                self._broker_client.take(
+                self._broker_client.handle_commands(
                     self,
                     [
                         decode_command(message, self._own)
--- a/src/siskinpass/process/run.py
+++ b/src/siskinpass/process/run.py
@@ -33,13 +33,17 @@
 
 MS_PER_S = 1000
 MAX_ATTEMPTS = 16
-MAX_PAUSES = 3
+MAX_PAUSES = 3  # pauses and moves of one request
+# Delay before a retry that callers are asked for once the budget is spent.
 BACKEND_RETRY_MS = 500
+# Limit of an answer that is collected before it is sent.
 MAX_ANSWER_BYTES = 8_388_608
 
 # Reasons for ending an attempt that do not count as failures of its backend
 # server.
 NOT_SERVER_FAULTS = frozenset((Code.retry_paused, Code.retry_backend_slow))
+# Codes under which retries are counted, by the code of the failed attempt. A
+# code that is not listed is counted itself.
 RETRY_REASONS = MappingProxyType({
     Code.backend_unreachable: Code.retry_connect_failed,
     Code.stream_cut: Code.retry_stream_cut,
@@ -87,7 +91,7 @@
 
     :param name: name of this instance.
     :param budget: retry budgets of the request classes.
-    :param note_retry: counts a retry by its reason.
+    :param count_retry: counts a retry by its reason.
     :param address_of: returns the address of a backend server, empty where it
         is not listed.
     :param sends_priority: whether engines are sent the tier as a priority;
@@ -99,7 +103,7 @@
     backends: BackendPool
     stream_monitor: StreamMonitor
     budget: RetryBudget
-    note_retry: Callable[[Code], None]
+    count_retry: Callable[[Code], None]
     address_of: Callable[[str], str]
     sends_priority: bool
 
@@ -382,7 +386,7 @@
                 str(error),
                 BACKEND_RETRY_MS,
             ) from error
-        self._context.note_retry(RETRY_REASONS.get(error.code, error.code))
+        self._context.count_retry(RETRY_REASONS.get(error.code, error.code))
 
     def _uses_retry_budget(self, error: BackendError) -> bool:
         """Return whether a retry counts against the retry budget.
--- a/src/siskinpass/process/serve.py
+++ b/src/siskinpass/process/serve.py
@@ -1,4 +1,4 @@
-"""Process of one entry instance."""
+"""Run one entry instance as a process, until SIGTERM or SIGINT."""
 
 import asyncio
 import os
