--- a/src/siskinpass/platform/directory.py
+++ b/src/siskinpass/platform/directory.py
@@ -1,4 +1,4 @@
-"""Translate directory look-ups of callers and membership records.
+"""Translate callers' directory look-ups and stored membership records.
 
 Callers look up which instances to connect to; instances store their own
 membership record in the platform's object store.
--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -51,8 +51,8 @@
         pauses of its streams grow.
     :param duplicate_prefill_factor: weight of tokens that another server has
         cached. A lower factor sends more prompts to an engine that has to
-        prefill again what another engine has cached: with 3 there were 1.5
-        times as many of them; see docs/design/platform.md.
+        prefill again what another engine has cached. With a factor of 3 there
+        were 1.5 times as many such prompts; see docs/design/platform.md.
     :param non_home_tokens: additional cost of a server that is not the home of
         the prompt's last shared part. It decides between otherwise equal
         servers, so that the parts spread over the memory of all engines and
@@ -275,6 +275,8 @@
     def _find_home(self, servers: Sequence[Server]) -> str:
         """Return the home of the prompt's last shared part.
 
+        The last part of a prompt is not shared, so the home follows from the
+        part before it, or from the only part of a prompt of one part.
         Tight streams have their home on a reserved server and other prompts on
         one that is not reserved, as long as there are such servers.
         """
--- a/src/siskinpass/process/breach.py
+++ b/src/siskinpass/process/breach.py
@@ -1,11 +1,11 @@
 """Detect breached service-level promises from their burn rates.
 
-Pure logic: each second the merged tallies of a node of the tree go in and the
-state of its promise comes out. The burn rate is the fraction of requests that
-missed a target, divided by the fraction that the objective allows (the error
-budget). To avoid false alarms, a breach requires a high burn rate in both the
-short and the long window, with misses spread over several seconds. It is
-cleared once the short window has stayed within the error budget for a while.
+Pure logic: each second the merged tallies of a node of the settings tree go in
+and the state of its promise comes out. The burn rate is the fraction of
+requests that missed a target, divided by the fraction that the objective allows
+(the error budget). To avoid false alarms, a breach requires a high burn rate in
+both the short and the long window, with misses spread over several seconds. It
+is cleared once the short window has stayed within the error budget for a while.
 """
 
 import enum
--- a/src/siskinpass/process/fleet/assigner.py
+++ b/src/siskinpass/process/fleet/assigner.py
@@ -127,7 +127,7 @@
     def set_servers(self, views: Iterable[ServerView]) -> None:
         """Replace the servers of all services.
 
-        Has to be called too when the configuration of the services changes.
+        Must also be called when the configuration of the services changes.
         """
         by_pool: dict[str, list[ServerView]] = {}
         self._views = {}
--- a/src/siskinpass/process/fleet/forward.py
+++ b/src/siskinpass/process/fleet/forward.py
@@ -92,7 +92,7 @@
         return len(self._tasks)
 
     def serve(self, caller: HttpCaller, request: WireRequest) -> None:
-        """Start a task that answers a request; a caller that leaves ends it."""
+        """Start the request's task; it is cancelled if the caller leaves."""
         request_handler = RequestHandler(
             self._context, caller, request, next(self._numbers)
         )
@@ -147,7 +147,7 @@
             raise
 
     def begin(self, head: AnswerHead) -> None:
-        """Send the head of a stream; only the first call does.
+        """Send the head of a stream; only the first call sends it.
 
         The first event of each attempt shows that its prompt is prefilled.
         """
--- a/src/siskinpass/process/fleet/kept_parts.py
+++ b/src/siskinpass/process/fleet/kept_parts.py
@@ -24,8 +24,8 @@
 # would.
 ANSWER_TIMEOUT_S = 1.0
 # Listing its cache delays an engine's other work. Each instance of a large
-# fleet queries only some engines, so that no engine gets more calls than at the
-# users' smaller sites.
+# fleet queries only some engines, so that no engine gets more queries than at
+# the users' smaller sites.
 MAX_ENGINES = 12
 
 
--- a/src/siskinpass/process/fleet/store_client.py
+++ b/src/siskinpass/process/fleet/store_client.py
@@ -51,7 +51,7 @@
     async def list_kind(self, kind: str) -> objects.Page:
         """Return all objects of a kind and the revision to watch from.
 
-        :raises StoreError: if the store does not answer or answers an error.
+        :raises StoreError: if the store does not answer or reports an error.
         """
         found: list[objects.StoredObject] = []
         after = ''
@@ -74,7 +74,7 @@
 
         :param wait_s: time after which the store answers without changes.
         :returns: ``None`` if the store no longer has the history since then.
-        :raises StoreError: if the store does not answer or answers an error.
+        :raises StoreError: if the store does not answer or reports an error.
         """
         path = objects.watch_path(kind, revision, int(wait_s * 1000))
         answer = await self._read('watch', path, wait_s + WATCH_MARGIN_S)
@@ -87,7 +87,7 @@
 
         :raises StoreConflictError: if it exists.
         :raises StoreUnconfirmedError: if the write may have happened.
-        :raises StoreError: if the store cannot be reached or answers an error.
+        :raises StoreError: if the store cannot be reached or reports an error.
         """
         answer = await self._write(
             'POST',
@@ -102,7 +102,7 @@
         """Replace an object, regardless of its revision.
 
         :raises StoreUnconfirmedError: if the write may have happened.
-        :raises StoreError: if the store cannot be reached or answers an error.
+        :raises StoreError: if the store cannot be reached or reports an error.
         """
         path = objects.object_path(kind, name)
         answer = await self._write(
@@ -114,7 +114,7 @@
         """Delete an object; a missing one is not an error.
 
         :raises StoreUnconfirmedError: if the deletion may have happened.
-        :raises StoreError: if the store cannot be reached or answers an error.
+        :raises StoreError: if the store cannot be reached or reports an error.
         """
         path = objects.object_path(kind, name)
         answer = await self._write('DELETE', path, b'')
--- a/src/siskinpass/process/limits.py
+++ b/src/siskinpass/process/limits.py
@@ -110,8 +110,8 @@
     def _may_grow(self, sample: Sample) -> bool:
         """Return whether most slots are in use or the limit is below its start.
 
-        Below its start the limit may grow unused: slots reserved for upper
-        tiers could otherwise keep it from ever being in use.
+        Below its start the limit may grow even while slots are idle: slots
+        reserved for upper tiers could otherwise keep it too idle to ever grow.
         """
         is_busy = sample.running >= self._limit * BUSY_FRACTION
         return is_busy or self._limit < self._policy.start
--- a/src/siskinpass/process/policies.py
+++ b/src/siskinpass/process/policies.py
@@ -1,4 +1,4 @@
-"""Derive broker policies from the tree's pools and the process settings."""
+"""Derive broker policies from the settings tree and the process settings."""
 
 from siskinpass.process.broker import BrokerPolicy
 from siskinpass.process.limits import LimitPolicy
--- a/src/siskinpass/request/call.py
+++ b/src/siskinpass/request/call.py
@@ -1,7 +1,7 @@
 """Validate a request against the settings tree.
 
-Pure logic without I/O: from the head, the body and the tree version in force it
-makes a checked call or raises an error with a result code.
+Pure logic without I/O: it checks the head and the body of a request against the
+tree version in force and returns a call or raises an error with a result code.
 """
 
 import hashlib
--- a/src/siskinpass/request/claim.py
+++ b/src/siskinpass/request/claim.py
@@ -90,7 +90,7 @@
     age_s: float,
     open_s: float,
 ) -> ClaimDecision:
-    """Decide about a request by the claim that its key already has.
+    """Return what to do with a request whose key already has a claim.
 
     :param found: the claim.
     :param nonce: nonce with which this request writes claims.
--- a/src/siskinpass/request/ticket.py
+++ b/src/siskinpass/request/ticket.py
@@ -47,7 +47,8 @@
         none.
     :param token_s: target for the mean time between tokens, 0 for none.
     :param pieces: consecutive parts of the prompt; other prompts can share a
-        part only together with all the parts before it.
+        part only together with all the parts before it. The last one belongs
+        only to this request or its session.
     :param tokens_in: length of the prompt in tokens.
     :param is_tight: whether the stream allows only short pauses between
         tokens and so should not run beside the prefill of long prompts.
--- a/src/siskinpass/request/ticket_queue.py
+++ b/src/siskinpass/request/ticket_queue.py
@@ -37,7 +37,7 @@
         return len(self._on_time) + len(self._late)
 
     def add(self, ticket: Ticket) -> None:
-        """Add a ticket and take over the share that it states."""
+        """Add a ticket and use its share as the share of the tier."""
         self._on_time[_rank(ticket)] = ticket
         self.share = ticket.share
 
@@ -138,7 +138,7 @@
         return ticket
 
     def demote_late(self, due_s: float) -> None:
-        """Move tickets due before ``due_s`` behind those of their tier."""
+        """Move tickets due before ``due_s`` behind the others of their tier."""
         for queue in self._tiers.values():
             queue.demote_late(due_s)
 
--- a/src/siskinpass/version/__init__.py
+++ b/src/siskinpass/version/__init__.py
@@ -1,1 +1,1 @@
-"""Settings tree and routing document: parsing, versions and edits."""
+"""Settings tree and routing configuration: parsing, versions and edits."""
--- a/src/siskinpass/version/routes.py
+++ b/src/siskinpass/version/routes.py
@@ -1,4 +1,4 @@
-"""One version of the routing document: routes, services and workspaces.
+"""One version of the routing configuration: routes, services, workspaces.
 
 A request belongs to the route that its host and path select, and to the
 workspace of its API key. The tier of the workspace takes precedence over the
@@ -156,7 +156,7 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """One complete and validated version of the routing document."""
+    """One complete and validated version of the routing configuration."""
 
     version: int
     routes: tuple[Route, ...]
--- a/src/siskinpass/version/schema.py
+++ b/src/siskinpass/version/schema.py
@@ -142,6 +142,7 @@
     maximum: float
 
 
+# By field name; they apply to the fields of classes and of pools alike.
 BOUNDS = MappingProxyType({
     'tier': Bounds(0, MAX_TIER),
     'first_token_ms': Bounds(1, HOUR_MS),
