--- a/src/siskinpass/platform/headers.py
+++ b/src/siskinpass/platform/headers.py
@@ -34,8 +34,8 @@
     b'content-length',
     b'expect',
 ))
-# Headers that only this system may set. Those sent by a caller are dropped,
-# so that a caller cannot forge them.
+# Headers that only this system may set. Those sent by a caller are not
+# forwarded, so that a caller cannot forge them.
 SYSTEM_HEADERS = frozenset((
     DEADLINE,
     RESUME,
--- a/src/siskinpass/process/affinity.py
+++ b/src/siskinpass/process/affinity.py
@@ -275,8 +275,8 @@
     def _find_home(self, servers: Sequence[Server]) -> str:
         """Return the home of the prompt's last shared part.
 
-        The last part of a prompt is not shared, so the home follows from the
-        part before it, or from the only part of a prompt of one part.
+        The last part belongs only to this request or its session, so the home
+        depends on the part before it; a single part is used itself.
         Tight streams have their home on a reserved server and other prompts on
         one that is not reserved, as long as there are such servers.
         """
--- a/src/siskinpass/process/fleet/answer.py
+++ b/src/siskinpass/process/fleet/answer.py
@@ -24,7 +24,7 @@
     """Target that passes stream events to the caller as they arrive."""
 
     def begin(self, head: AnswerHead) -> None:
-        """Send the head to the caller; further calls have no effect."""
+        """Send the head to the caller unless an earlier call has sent it."""
 
     def write(self, events: bytes) -> None:
         """Send complete events to the caller."""
--- a/src/siskinpass/process/limits.py
+++ b/src/siskinpass/process/limits.py
@@ -111,7 +111,7 @@
         """Return whether most slots are in use or the limit is below its start.
 
         Below its start the limit may grow even while slots are idle: slots
-        reserved for upper tiers could otherwise keep it too idle to ever grow.
+        reserved for upper tiers could otherwise stay idle and prevent growth.
         """
         is_busy = sample.running >= self._limit * BUSY_FRACTION
         return is_busy or self._limit < self._policy.start
--- a/src/siskinpass/request/head.py
+++ b/src/siskinpass/request/head.py
@@ -1,4 +1,8 @@
-"""Results of parsing the head of a request."""
+"""Results of parsing the head of a request.
+
+A page is a path that the instance answers itself instead of relaying the
+request to a backend server.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -24,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PageAnswer:
-    """Complete response that a page handler produced.
+    """Complete response of a page handler, or to a malformed request.
 
     :param wire: serialized response, head and body.
     :param length: length of the request's body in bytes.
@@ -38,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyNeeded:
-    """Signals that a page handler needs the body of the request to run.
+    """Signal that a page handler needs the body of the request.
 
     :param length: length of the body in bytes.
     """
