--- a/src/siskinpass/request/ticket.py
+++ b/src/siskinpass/request/ticket.py
@@ -29,15 +29,18 @@
 class Ticket:
     """A request's place in the queue for one slot on a backend server.
 
-    :param ticket_id: unique over all instances and their restarts.
-    :param entry: instance that holds the caller's connection.
+    :param ticket_id: unique over all instances that share a broker and over
+        their restarts.
+    :param entry: instance that holds the caller's connection; empty in a fleet,
+        where each instance has its own brokers.
     :param pool: name of the pool or service whose backend servers can serve
         the request.
     :param node: request class: its path in the settings tree or the name of
         its route.
     :param tier: priority, 0 is the most urgent.
-    :param opened_s: when the request arrived.
-    :param target_s: latency target from arrival to first token.
+    :param opened_s: when the request arrived; in a fleet, when the current
+        attempt began.
+    :param target_s: latency target from ``opened_s`` to the first token.
     :param max_wait_s: longest wait before the request is refused.
     :param share: fraction of freed slots guaranteed to the tier.
     :param prefix: hash of the start of the prompt, 0 where unknown.
