--- a/bench/bound.py
+++ b/bench/bound.py
@@ -25,7 +25,7 @@
 def bound_attainment(jobs: Sequence[Job], plan: Plan) -> dict[str, float]:
     """Return the highest possible fraction of requests in target, by class.
 
-    Only classes of engine pools that have requests are contained.
+    The result contains only classes of engine pools that have requests.
     """
     settings_by_class = load_class_settings(plan.tree)
     token_s = (STEP_MS + SEQUENCE_MS * SLOTS) / 1000
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -356,7 +356,7 @@
         self.done = asyncio.get_running_loop().create_future()
 
     def ask(self, number: int) -> None:
-        """Open the ticket of a number."""
+        """Open the ticket with the given number."""
         self.name = f'entry-1-1796000000000-{number}.0'
         opened = _open_event(self.name, 0)
         self.broker_client.ask(opened.ticket, self)
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -180,7 +180,7 @@
             await asyncio.wait(running_faults)
 
     def _withdraw_entry(self) -> Entry | None:
-        """Withdraw a random entry from the load.
+        """Stop sending load to a random entry.
 
         :returns: the entry, or None if only half of the entries are left.
         """
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -65,7 +65,11 @@
 
 
 def tight(number, **more):
-    """Return the ticket of a tight stream with a short prompt."""
+    """Return the ticket of a tight stream with a short prompt.
+
+    A tight stream allows only short pauses between its tokens. Tickets whose
+    numbers are equal modulo 7 share the first part of their prompt.
+    """
     return prompt(
         number,
         number % 7,
@@ -230,7 +234,10 @@
         assert list(placed) == ['t-99']
 
     def test_reservation_grows_to_engines_with_long_prompts(self):
-        """An engine that prefilled long prompts is reserved and used."""
+        """Tight streams get two engines, although long prompts ran before.
+
+        Each of the two gets more than 40 % of the streams.
+        """
         made = broker()
         for number in range(40):
             made.apply(TicketOpened(prompt(number, number)), number * 0.1)
@@ -250,7 +257,10 @@
         assert min(placed.values()) > 0.4 * placed.total()
 
     def test_short_prompts_leave_a_busy_home(self):
-        """A burst with one shared part is spread over the reserved servers."""
+        """A burst with one shared part is placed on two engines at once.
+
+        The second engine is used although only the first has the part cached.
+        """
         made = broker((*SERVERS, *EXTRA_SERVERS))
         placed = []
         for number in range(8):
@@ -310,7 +320,7 @@
 
     @pytest.mark.parametrize('lost', range(5))
     def test_any_server_may_be_lost(self, lost):
-        """Without any one server all kinds of requests are still placed."""
+        """If any one engine is missing, both kinds of prompts are placed."""
         made = broker(SERVERS[:lost] + SERVERS[lost + 1 :])
         both = [TicketOpened(tight(1)), TicketOpened(prompt(2, 2))]
         assert set(grants(made.apply_all(both, 0.0))) == {'t-1', 't-2'}
--- a/tests/test_breach.py
+++ b/tests/test_breach.py
@@ -65,7 +65,7 @@
         ],
     )
     def test_trace(self, spans, wanted):
-        """A trace leads to the expected states and to no other breach."""
+        """A trace leads to the expected states, and to no unexpected breach."""
         states = [state for _, state in state_changes(tallies_of(*spans))]
         for state in wanted:
             assert state in states
@@ -89,7 +89,7 @@
         [(20, Cause.slow_backends), (0, Cause.demand)],
     )
     def test_cause(self, slow, cause):
-        """Misses without queueing are attributed to slow backend servers."""
+        """Misses are attributed to slow backend servers or else to demand."""
         watch = BreachWatch(BreachPolicy(), 0.99)
         trace = tallies_of(NO_MISSES, (10, 20, 20, slow))
         assert watch.evaluate(trace[-30:], 40).cause is cause
--- a/tests/test_claim.py
+++ b/tests/test_claim.py
@@ -145,7 +145,7 @@
 
 
 class TestInterleavings:
-    """Test every order of steps with every choice of lost confirmations."""
+    """Test every order of eight steps, with each confirmation kept or lost."""
 
     def test_at_most_once(self):
         """Two attempts with the same key never both run."""
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -53,7 +53,7 @@
     """Test one entry with many concurrent callers."""
 
     def test_nobody_holds_a_thread(self, single_entry):
-        """A new request is answered beside 2,000 streams and 500 stalls.
+        """A request is answered while 2,000 streams and 500 stalls are open.
 
         If streams or unfinished request heads held a thread each, no request
         thread would be left to answer.
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -191,7 +191,7 @@
     """Test what callers get from the whole deployment."""
 
     def test_answers_are_whole_at_every_entry(self, cluster):
-        """Streams, whole answers and service calls work at every entry."""
+        """Streams, whole answers and service calls work at random entries."""
         jobs = [counter(at_s=number / 50) for number in range(12)]
         jobs += [counter(stream=False), order(), pattern()]
         assert all(
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -68,7 +68,7 @@
 
     @given(st.text(max_size=60))
     def test_any_text_is_parsed_or_rejected(self, text):
-        """No text raises another exception than that for faults."""
+        """Any text is parsed or raises ``TreeFaultsError``, nothing else."""
         try:
             parse_tree(text)
         except TreeFaultsError as error:
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -37,7 +37,7 @@
 
     @given(CUTS, st.integers(0, len(STREAM)))
     def test_resumes_without_a_gap(self, cuts, broken_at):
-        """Resuming after the last id loses no event, wherever it broke off."""
+        """A stream cut at any byte resumes after the last id without loss."""
         parser = EventStreamParser()
         passed = parser.feed(STREAM[:broken_at])
         parser.drop_partial()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -134,7 +134,7 @@
         ]
 
     def test_unknown_id(self, monkeypatch):
-        """For an id that is not in the logs, the exit status says so."""
+        """An id that is not in the logs ends the command with status 1."""
         monkeypatch.setattr(
             sys, 'stdin', SimpleNamespace(buffer=io.BytesIO(LOG))
         )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -153,7 +153,11 @@
         assert not [body for body in service_runs(restored) if 's12n' in body]
 
     def test_lost_confirmation_of_a_claim(self, restored):
-        """A claim whose confirmation was lost is recognized by its nonce."""
+        """If confirmations of claims are lost, no order runs twice.
+
+        Each order that ran has a complete answer, and none of these is
+        reported as not run.
+        """
         lose = {'lose_confirmations': 2}
         restored.order('platform', lose, '/admin/store')
         where = target(restored)
@@ -209,7 +213,7 @@
         assert after['sur']['classes']['summary']['max_wait_ms'] == 50_002
 
     def test_edit_with_lost_confirmation_is_accepted_once(self, restored):
-        """An edit whose confirmation was lost is recognized by its nonce."""
+        """An edit whose confirmations were lost is accepted as one version."""
         current = restored.call_operator_api('GET', '/tree')
         base, tree = current['version'], current['tree']
         first_edit = _edited(
@@ -292,7 +296,7 @@
         assert {answer.fault for answer in wait()} == {''}
 
     def test_broker_is_suspended_and_resumed(self, fresh):
-        """A suspended broker is replaced and does not act once it resumes."""
+        """Requests succeed while a broker is suspended and once it resumes."""
         send_jobs([counter()], target(fresh))
         broker = broker_entry(fresh)
         others = [entry for entry in fresh.entries if entry is not broker]
@@ -379,7 +383,7 @@
     """Test that requests of upper tiers do not wait behind lower ones."""
 
     def test_counter_passes_waiting_patterns_of_other_entries(self, restored):
-        """Patterns at one entry do not delay a counter request at another."""
+        """Counter requests do not wait for patterns sent to another entry."""
         first, second = restored.entries[:2]
         wait = in_background(
             [pattern(tokens=120) for _ in range(120)],
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -39,7 +39,7 @@
     def test_forwards_request_and_answer(self):
         """A request reaches a server; its answer and receipt come back.
 
-        The caller's key and internal headers that it sets are not forwarded.
+        The caller's key and forged internal headers are not forwarded.
         """
 
         async def scenario(fleet):
@@ -83,9 +83,10 @@
         ],
     )
     def test_refuses_malformed_requests(self, wire):
-        """Requests that two parsers could delimit differently are refused.
+        """A malformed request is refused and reaches no server.
 
-        Guards against request smuggling.
+        Two parsers could delimit a request with contradictory lengths
+        differently, which would allow request smuggling.
         """
 
         async def scenario(fleet):
@@ -157,7 +158,7 @@
         run_scenario(scenario)
 
     def test_does_not_end_cut_stream_that_is_not_resumable(self):
-        """Complete events are forwarded, but no end of the stream."""
+        """The caller gets complete events, but no end of the stream."""
 
         async def scenario(fleet):
             fleet.servers[0].faults.cuts = 1
@@ -238,7 +239,7 @@
         run_scenario(scenario)
 
     def test_lists_again_when_history_is_missing(self):
-        """A change that is missing from the store's history is still found."""
+        """An instance lists again if the store's history lacks a change."""
 
         async def scenario(fleet):
             fleet.store.history_from = 10**6
@@ -253,7 +254,7 @@
     def test_leaving_server_gets_nothing_new(self):
         """A draining server gets no new requests.
 
-        An unreadable entry beside it has no effect.
+        An unreadable entry of another server does not prevent that.
         """
 
         async def scenario(fleet):
@@ -326,7 +327,7 @@
     """Test fleets of several instances."""
 
     def test_instances_discover_each_other(self):
-        """The directory lists a zone's instances, without a killed one."""
+        """The directory lists both instances, and drops one that is killed."""
 
         async def scenario(fleet):
             await wait_until(lambda: _lists(fleet, 2), 'two addresses')
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -20,7 +20,7 @@
         assert (write.record.fence, write.version) == (1, 0)
 
     def test_takeover_waits_for_expiry(self):
-        """A lease of another holder is taken over only after its length."""
+        """A lease is taken over only after it was unchanged for its length."""
         logic = LeaseLogic('a', LENGTH_S, MARGIN_S)
         held = LeaseRecord('b', 4, LENGTH_S)
         logic.observe(held, 9, 0.0)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -15,7 +15,7 @@
     """Test the metrics that operators read."""
 
     def test_latencies_are_recorded_by_outcome(self):
-        """Answers and refusals appear in the histograms of their class."""
+        """Answers and refusals are recorded by route and outcome."""
 
         async def scenario(fleet):
             await fleet.ask('/stream/x')
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -182,7 +182,7 @@
     """Test decoding of the entries of backend servers."""
 
     def test_decodes_entry(self):
-        """The name of the entry becomes the id of the server."""
+        """The name of the entry becomes the name of the server."""
         view = decode_server('i-1', SERVER)
         assert (view.name, view.pool, view.slots) == ('i-1', 'lm', 64)
         assert (view.leaving, view.incarnation) == (False, 17)
@@ -207,7 +207,10 @@
         ],
     )
     def test_rejects_invalid_entry(self, entry):
-        """An invalid entry, perhaps of another writer, raises."""
+        """An invalid entry raises ``FormatError``.
+
+        Entries may come from other programs, so they can have any form.
+        """
         with pytest.raises(FormatError):
             decode_server('i-1', entry)
 
--- a/tests/test_platform_headers.py
+++ b/tests/test_platform_headers.py
@@ -118,7 +118,7 @@
         headers,
         not_run,
     ):
-        """No status except 421 shows that the request was not run."""
+        """Only status 421 or the server's header states that it did not run."""
         assert decode_answer(status, headers).not_run is not_run
 
     def test_forwards_receipt(self):
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -61,7 +61,10 @@
         assert not found
 
     def test_names_are_used_in_adapter(self):
-        """Every listed name appears in the adapter, apart from a few."""
+        """Every listed name appears in the adapter, except those in ``unused``.
+
+        A misspelled name would make the other test pass without a check.
+        """
         text = ''.join(
             path.read_text().lower() for path in ADAPTER.glob('*.py')
         )
--- a/tests/test_prefill.py
+++ b/tests/test_prefill.py
@@ -54,7 +54,8 @@
     def test_upper_tier_waits_no_longer(self, prompts):
         """No prompt waits longer than one of a lower tier.
 
-        A wait is never negative, and at least the time of the last prompt.
+        A wait is never negative. In the tier of the prompt that was added
+        last, it is at least the prefill time of that prompt.
         """
         schedule = PrefillSchedule()
         now_s = 0.0
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -87,11 +87,11 @@
 
 
 class TestPropose:
-    """Test when an edit is accepted and what the caller is told."""
+    """Test when an edit is accepted and which result is reported."""
 
     @given(st.lists(st.sampled_from(('ok', 'lost', 'before', 'down'))))
     def test_result_agrees_with_the_store(self, plan):
-        """Success and failure are reported as the store holds them."""
+        """A reported success or failure agrees with the stored version."""
         store = FakeStore()
         propose(store, 0, tree(a=1))
         store.plan = list(plan)
--- a/tests/test_resend.py
+++ b/tests/test_resend.py
@@ -144,7 +144,7 @@
 
     @pytest.mark.parametrize('ending', AttemptOutcome)
     def test_final_step_after_a_run_is_not_tell_not_run(self, ending):
-        """No outcome hides that an earlier send may have run."""
+        """A request that may have run earlier is not reported as not run."""
         assert final_step(ending, has_run=True) is not NextStep.tell_not_run
 
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -96,7 +96,10 @@
         ],
     )
     def test_shortest_pause_is_tight(self, pauses, tight):
-        """The shortest pause is tight unless all streams have the same."""
+        """The streams with the shortest pause are tight, unless all have it.
+
+        A pause of 0 stands for no target.
+        """
         routes = tuple(
             route(f'/{number}/', pause_s=pause_s)
             for number, pause_s in enumerate(pauses)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -20,7 +20,7 @@
 
 
 class Follower:
-    """Names of the objects according to a watch's updates."""
+    """Receiver of a watch's updates that tracks the names of the objects."""
 
     def __init__(self):
         self.names = set()
@@ -100,5 +100,9 @@
 
     @pytest.mark.parametrize('contact_s', [3.0, 4.0])
     def test_lost_answer_is_noticed_within_contact_time(self, contact_s):
-        """A lost answer is noticed before the instance counts as connected."""
+        """A watch times out within the contact time.
+
+        Otherwise an instance would count as connected before it notices that
+        the answer of a watch was lost.
+        """
         assert 0 < watch_wait_s(contact_s) + WATCH_MARGIN_S < contact_s
