--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -54,14 +54,14 @@
 RUNS = 5
 FIGURES_FILE = Path('docs/capacity.json')
 STREAM_COUNTS = (50, 200, 400)
-WAITING_COUNTS = (10, 100, 1000)
+WAITING_COUNTS = (10, 100, 1000)  # tickets in the queue of the broker
 SERVER_COUNTS = (6, 600, 3700)
 TIER_COUNTS = (1, 3, 7)
 MEMBER_COUNTS = (8, 32, 128, 450)
 WORKSPACE_COUNTS = (10, 400, 1600)
 TICKETS_PER_RUN = 2000
 PEER_KEY = 'capacity-peer-key'
-GROUP_SIZE = 8
+GROUP_SIZE = 8  # backend servers of a broker
 
 
 def measure() -> dict[str, Any]:
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -30,8 +30,8 @@
     ('pattern', 'engine', 3.0, 400),
 )
 SAMPLE_INTERVAL_S = 0.5
-ORDER_ATTEMPTS = 3
-FAULT_FREE_END_S = 1.5
+ORDER_ATTEMPTS = 3  # of a caller, for each call of a service
+FAULT_FREE_END_S = 1.5  # time before the end in which no fault starts
 
 
 class ChaosRun:
@@ -182,7 +182,7 @@
     def _withdraw_entry(self) -> Entry | None:
         """Stop sending load to a random entry.
 
-        :returns: the entry, or None if only half of the entries are left.
+        :returns: the entry, or None if only half of the entries still get load.
         """
         if len(self._available) <= ENTRIES // 2:
             return None
--- a/bench/chaos_checks.py
+++ b/bench/chaos_checks.py
@@ -8,6 +8,8 @@
 
 from bench.load import Answer, Job
 
+# Time after an engine is listed as leaving in which it may still start a run:
+# the sum of the two.
 LEAVE_GRACE_S = 3.0
 INSTANCE_LIST_LAG_S = 1.0
 CLOCK_TOLERANCE_S = 1.0
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -22,7 +22,7 @@
 TOKENS = 200
 STEP_MS = 20
 PROBE_COUNT = 200
-TICKS_PER_S = os.sysconf('SC_CLK_TCK')
+TICKS_PER_S = os.sysconf('SC_CLK_TCK')  # unit of the times in /proc
 OUTPUT_FILE = BUILD / 'bench' / 'overhead.json'
 ROW_FORMAT = '{:>8}{:>12}{:>12}{:>12}{:>12}{:>14}{:>14}{:>12}{:>10}\n'
 
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -101,7 +101,7 @@
 
 
 def ramp(low: float, high: float) -> Callable[[float], float]:
-    """Return a rate that rises from 6 to 11 s and drops back after 20 s."""
+    """Return a rate that rises between 6 s and 11 s and drops after 20 s."""
 
     def rate(at_s: float) -> float:
         if at_s < 6 or at_s > 20:
--- a/tests/test_backend_connection.py
+++ b/tests/test_backend_connection.py
@@ -12,7 +12,7 @@
 HEAD = b'HTTP/1.1 200 OK\r\nX-Any: 1\r\n'
 UNFRAMED = HEAD + b'\r\nhalf of the '
 SIZED = HEAD + b'Content-Length: 4\r\n\r\nbody'
-NO_LINGER = struct.pack('ii', 1, 0)
+NO_LINGER = struct.pack('ii', 1, 0)  # makes close() send a reset
 
 
 class Collector(AnswerSink):
