--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -61,7 +61,7 @@
 WORKSPACE_COUNTS = (10, 400, 1600)
 TICKETS_PER_RUN = 2000
 PEER_KEY = 'capacity-peer-key'
-GROUP_SIZE = 8  # backend servers of a broker
+GROUP_SIZE = 8  # backend servers in one group
 
 
 def measure() -> dict[str, Any]:
--- a/bench/chaos_checks.py
+++ b/bench/chaos_checks.py
@@ -8,11 +8,11 @@
 
 from bench.load import Answer, Job
 
-# Time after an engine is listed as leaving in which it may still start a run:
-# the sum of the two.
+# An engine may still start runs for the sum of these two times after the
+# instance list names it as leaving.
 LEAVE_GRACE_S = 3.0
 INSTANCE_LIST_LAG_S = 1.0
-CLOCK_TOLERANCE_S = 1.0
+CLOCK_TOLERANCE_S = 1.0  # see ``Observations.was_killed``
 # Part of the body of calls that must run at most once. Calls of the class
 # "stock" are retried after a broken connection, those of "order" never are.
 NON_IDEMPOTENT_BODY = '"class":"order"'
--- a/src/siskinpass/process/treewatch.py
+++ b/src/siskinpass/process/treewatch.py
@@ -22,7 +22,7 @@
 WATCHER_COUNT = 2  # instances that watch the store
 WATCH_TIMEOUT_S = 10.0  # longest wait of one watch
 RETRY_S = 0.5
-WATCHER_CHECK_S = 0.5  # interval at which other instances check their role
+WATCHER_CHECK_S = 0.5  # time between checks for becoming a watcher
 # Errors of a call to another instance; KeyError if its address is not known.
 PEER_ERRORS = (
     GRPCError,
--- a/tests/test_assigner.py
+++ b/tests/test_assigner.py
@@ -45,7 +45,7 @@
 
 
 class TestCacheSize:
-    """Test that cached parts are tracked for any order of store updates."""
+    """Test that cached parts are tracked if servers are listed first."""
 
     def test_servers_before_the_configuration(self):
         """Parts are tracked on an engine listed before its configuration.
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -57,7 +57,7 @@
 
 
 class TestKindWatch:
-    """Test that a watch reports all changes, whatever happens to answers."""
+    """Test that a watch reports changes despite lost answers and outages."""
 
     def test_follows_changes_and_deletions(self):
         """Each change and each deletion is reported."""
