--- a/src/siskinpass/process/discovery.py
+++ b/src/siskinpass/process/discovery.py
@@ -51,7 +51,7 @@
 
 
 def read_listing(http: urllib3.PoolManager, base_url: str) -> Listing:
-    """Read the list once; blocks until the answer or a time-out.
+    """Read the list once; blocks until it arrives, at most ``TIMEOUT_S``.
 
     :param base_url: ``http://ip:port`` of the platform.
     :raises StoreError: if the platform is unreachable or returns an error.
