--- a/bench/broken.py
+++ b/bench/broken.py
@@ -37,14 +37,14 @@
 def skip_claims() -> None:
     """Run requests without checking whether their key is claimed."""
 
-    async def make(self, call) -> HeldClaim:
+    async def acquire(self, call) -> HeldClaim:
         claim = Claim('none', call.digest, ClaimState.open, 0)
         return HeldClaim('claims/none', claim, 0)
 
     async def settle(self, *args) -> None:
         """Leave the claim store unchanged."""
 
-    Claims.make = make
+    Claims.acquire = acquire
     Claims.settle = settle
 
 
